--- a/bench/hunt.py
+++ b/bench/hunt.py
@@ -22,7 +22,7 @@
 from bench.front import machine
 from flaxscale.decide import Manager
 from flaxscale.hunt.marks import name_of
-from flaxscale.interface import State
+from flaxscale.interface import ServerStatus
 from flaxscale.lab.hunts import Hunting
 from flaxscale.lab.shapes import read_day
 from flaxscale.leases.holder import Holder
@@ -39,7 +39,7 @@
 
 
 def without_drains(self, row):
-    if row.state is not State.DRAINING:
+    if row.state is not ServerStatus.DRAINING:
         whole["listed"](self, row)
 
 
--- a/flaxscale/catalogue/view.py
+++ b/flaxscale/catalogue/view.py
@@ -8,7 +8,7 @@
 
 import xxhash
 
-from .. import interface as face
+from .. import interface
 
 FORGET = 6_000_000  # a title not asked for in ten minutes is forgotten by the module
 
@@ -61,8 +61,8 @@
 
     def event(self, name, title):
         if title is None:
-            return face.Catalogued(title_id(name), frozenset(), 0, 0, ())
-        return face.Catalogued(
+            return interface.TitleUpdate(title_id(name), frozenset(), 0, 0, ())
+        return interface.TitleUpdate(
             title_id(name),
             title.may_take(),
             title.low,
@@ -88,7 +88,7 @@
         for name in [n for n, at in self.asked_at.items() if now - at > FORGET and title_id(n) not in held]:
             del self.asked_at[name]
             if self.told.pop(name, None) is not None:
-                out.append(face.Catalogued(title_id(name), None, 0, 0, ()))
+                out.append(interface.TitleUpdate(title_id(name), None, 0, 0, ()))
         return out
 
     def version(self):
--- a/flaxscale/decide.py
+++ b/flaxscale/decide.py
@@ -8,7 +8,7 @@
 from collections import Counter
 from math import exp, log
 
-from . import interface as face
+from . import interface
 from .decisions.capacity import CapacityAccount
 from .decisions.chance import Chance
 from .decisions.deadlines import ATTEMPT_LEAST, BEAT, Standstills, attempt_until
@@ -18,7 +18,7 @@
 from .decisions.seats import Seats
 from .decisions.slow_start import may_send, turn_at
 from .decisions.state import SERVES, ServerState, SessionState
-from .interface import How, ListKind, NoteKind, State
+from .interface import ListKind, NoteKind, Outcome, ServerStatus
 from .units import SECOND
 
 SLOT = 500  # viewings gathered this long are placed together
@@ -123,24 +123,24 @@
         if self.started_at is None:
             self.started_at = now
             self.standstills.begin(now)
-            self.out.append(face.Remind(BEAT_ALARM, BEAT))
+            self.out.append(interface.Remind(BEAT_ALARM, BEAT))
         if now >= self.weighed_at + SECOND:
             self.weigh()
         acts = {
-            face.Asked: self.take,
-            face.Note: self.note,
-            face.Ended: self.ended,
-            face.Begun: self.begun,
-            face.Alarm: self.alarm,
-            face.Listing: self.listing,
-            face.HandedOver: self.hand_over,
-            face.Left: self.left,
-            face.Probed: self.probed,
-            face.PeerSays: self.peer_says,
-            face.Kept: self.keep,
-            face.Reserved: self.reserve,
-            face.Changed: self.changed,
-            face.Catalogued: self.catalogued,
+            interface.SessionRequest: self.take,
+            interface.PlaybackNote: self.note,
+            interface.AttemptEnded: self.ended,
+            interface.AttemptSucceeded: self.begun,
+            interface.TimerFired: self.alarm,
+            interface.ServerListUpdate: self.listing,
+            interface.SessionHandedOver: self.hand_over,
+            interface.ClientLeft: self.left,
+            interface.ProbeEnded: self.probed,
+            interface.PeerLoadChange: self.peer_says,
+            interface.PeakReservations: self.keep,
+            interface.SeatReservations: self.reserve,
+            interface.TermsChanged: self.changed,
+            interface.TitleUpdate: self.catalogued,
         }
         acts[type(event)](event)
         return self.out
@@ -157,7 +157,7 @@
             [
                 srv
                 for srv in self.holders(vw)
-                if srv.row.state is State.READY and self.now >= srv.shut_until and self.dim(srv)
+                if srv.row.state is ServerStatus.READY and self.now >= srv.shut_until and self.dim(srv)
             ]
             if self.looks
             else []
@@ -171,7 +171,7 @@
     def probe(self, srv):
         if self.dim(srv) and not srv.looking:
             srv.looking = True
-            self.out.append(face.Probe(srv.row.server))
+            self.out.append(interface.Probe(srv.row.server))
 
     def look_up(self):
         """What plays at its lowest rung is looked after too: it may have begun in a crowd."""
@@ -185,7 +185,7 @@
         if srv is None:
             return
         srv.looking, srv.others = False, max(0, figures.get("streams", 0) - len(srv.viewings))
-        if event.how is not How.OK:
+        if event.how is not Outcome.OK:
             srv.rests_until = self.now + REST
         if "uplink" in figures:
             srv.rack.heard(self.now, LOOK_LAG, figures["uplink"])
@@ -227,13 +227,13 @@
             vw.answered = True
             self.forget(vw)
             if vw.server and not vw.playing and self.allowed.call_off:
-                self.out.append(face.CallOff(vw.id, vw.nth))
+                self.out.append(interface.CallOff(vw.id, vw.nth))
 
     def begun(self, event):
         vw = self.viewings.get(event.id)
         if vw and event.nth == vw.nth:
             vw.playing, vw.answered, vw.stepped_at, vw.begun_at = True, True, self.now, self.now
-            self.resume(vw, How.OK)
+            self.resume(vw, Outcome.OK)
             if vw.server:
                 self.well(vw.server)
                 self.set_rungs({vw: vw.in_bounds()})  # a rendition may have gone while the tune-in was out
@@ -242,19 +242,19 @@
         srv, vw = self.servers.get(event.server), self.viewings.get(event.id)
         if vw is None or event.nth != vw.nth:
             return
-        if srv and event.how in (How.ERROR, How.TIMEOUT, How.UNREACHED, How.RESET):
-            if event.how is How.ERROR and self.now - srv.well_at < SERVES:
+        if srv and event.how in (Outcome.ERROR, Outcome.TIMEOUT, Outcome.UNREACHED, Outcome.RESET):
+            if event.how is Outcome.ERROR and self.now - srv.well_at < SERVES:
                 vw.erred.setdefault(srv, (srv.ills, srv.shut_until, srv.doubt_at))
             self.ill(srv)
             # Two that serve others well answered it alike: the fault is its own, and no third is asked.
             for other, was in vw.erred.items() if len(vw.erred) > 1 else ():
                 other.ills, other.shut_until, other.doubt_at = was
-        elif srv and event.how is How.FULL:
+        elif srv and event.how is Outcome.FULL:
             srv.rests_until = self.now + REST
-        elif event.how is How.LACKING:
+        elif event.how is Outcome.LACKING:
             # It is ahead of us, or behind: others first, this one again when one of us may have caught up.
             self.lacking[event.server, vw.ask.title] = self.now + REST
-        if event.how not in (How.FULL, How.UNREACHED, How.MOOT, How.LACKING):
+        if event.how not in (Outcome.FULL, Outcome.UNREACHED, Outcome.MOOT, Outcome.LACKING):
             vw.ran_at, vw.ran_near = vw.sent_at, srv and srv.row
         self.vacate(vw)
         if event.over or vw.answered:
@@ -316,7 +316,7 @@
         elif event.token == BEAT_ALARM:
             self.standstills.beat(self.now)
             self.look_up()
-            self.out.append(face.Remind(BEAT_ALARM, BEAT))
+            self.out.append(interface.Remind(BEAT_ALARM, BEAT))
 
     # One viewing, top to bottom
 
@@ -327,7 +327,7 @@
             if spot is None:
                 break
             how = yield "tune", spot
-            if how is not How.OK and not self.may_repeat(vw):
+            if how is not Outcome.OK and not self.may_repeat(vw):
                 break
         if vw.playing:
             yield "play"
@@ -366,7 +366,7 @@
         self.waiting.append(vw)
         if self.slot_at is None:
             self.slot_at = self.now + SLOT
-            self.out.append(face.Remind(SLOT_ALARM, SLOT))
+            self.out.append(interface.Remind(SLOT_ALARM, SLOT))
 
     def slot(self):
         """The slot's end: the waiting viewings in the order of what their lowest rung earns per kB."""
@@ -405,9 +405,9 @@
         if vw.ran_at is None or pack.effect == "safe" or (pack.effect == "keyed" and pack.group == "all"):
             most = self.allowed.hold_off_most if self.allowed.hold_off else 0
             # Spread, or the viewers blocked together come again together.
-            self.out.append(face.Block(vw.id, most // 2 + int(self.chance() * (most // 2))))
+            self.out.append(interface.Block(vw.id, most // 2 + int(self.chance() * (most // 2))))
         else:
-            self.out.append(face.Abort(vw.id))
+            self.out.append(interface.Abort(vw.id))
 
     def tune(self, vw, srv, rung):
         if vw.nth >= 0:
@@ -419,9 +419,9 @@
         if self.is_cold(srv):
             srv.turn = self.pace_turn(srv)
         if rung != vw.floor or vw.rung != vw.floor:
-            self.out.append(face.SetRung(vw.id, rung))
+            self.out.append(interface.SetRung(vw.id, rung))
         vw.rung = rung
-        self.out.append(face.TuneIn(vw.id, srv.row.server, expire))
+        self.out.append(interface.TuneIn(vw.id, srv.row.server, expire))
         self.occupy(vw, srv)
 
     def occupy(self, vw, srv):
@@ -538,7 +538,7 @@
         srv.judged, srv.usable = (
             self.calls,
             (
-                srv.row.state is State.READY
+                srv.row.state is ServerStatus.READY
                 and self.in_pace(srv)
                 and len(srv.viewings) + srv.others + 1 <= self.terms.fleet.slots[srv.row.kind]
             ),
@@ -587,7 +587,7 @@
     def recount(self, srv, new=True):
         own = self.asking(srv.viewings.values())
         if new and self.tells and own != srv.link.own:
-            self.out.append(face.TellPeers(srv.row.server, own - srv.link.own))
+            self.out.append(interface.TellPeers(srv.row.server, own - srv.link.own))
         self.asked_kb += own - srv.link.own
         srv.rack.asks(self.now, srv.rack.own + own - srv.link.own, new)
         srv.link.asks(self.now, own, new)
@@ -670,7 +670,7 @@
         for row in [
             *event.entries,
             *(
-                srv.row._replace(state=State.GONE)
+                srv.row._replace(state=ServerStatus.GONE)
                 for n, srv in self.servers.items()
                 if event.kind is not ListKind.DELTA and n not in named
             ),
@@ -678,7 +678,7 @@
             self.listed(row)
 
     def listed(self, row):
-        if row.server not in self.servers and row.state is State.GONE:
+        if row.server not in self.servers and row.state is ServerStatus.GONE:
             return
         if (srv := self.servers.get(row.server)) is None:
             srv = self.servers[row.server] = ServerState(row, CapacityAccount(1, self.usual))
@@ -692,7 +692,7 @@
 
     def drop(self, srv):
         """Gone and empty is forgotten, or replaced machines fill the memory and weigh on their rack."""
-        if srv.row.state is State.GONE and not srv.viewings and self.servers.pop(srv.row.server, None):
+        if srv.row.state is ServerStatus.GONE and not srv.viewings and self.servers.pop(srv.row.server, None):
             srv.rack.servers.remove(srv)
             self.links_kb = None
             self.cells.get(srv.row.cell, {}).pop(srv.row.server, None)
@@ -768,7 +768,7 @@
         changed = [vw for vw in plan if plan[vw] != vw.rung]
         for vw in changed:
             vw.rung, vw.stepped_at = plan[vw], self.now
-            self.out.append(face.SetRung(vw.id, vw.rung))
+            self.out.append(interface.SetRung(vw.id, vw.rung))
         for srv in dict.fromkeys(vw.server for vw in changed):
             self.recount(srv)
 
--- a/flaxscale/decisions/state.py
+++ b/flaxscale/decisions/state.py
@@ -3,7 +3,7 @@
 from collections.abc import Generator
 from typing import Any
 
-from ..interface import Asked, Listed, Package
+from ..interface import Package, ServerEntry, SessionRequest
 from ..units import SECOND
 from .capacity import CapacityAccount
 
@@ -14,7 +14,7 @@
 class ServerState:
     """One media server: its list row, its accounts, its health and its slow start."""
 
-    def __init__(self, row: Listed, link: CapacityAccount) -> None:
+    def __init__(self, row: ServerEntry, link: CapacityAccount) -> None:
         self.row, self.link = row, link
         self.rack: CapacityAccount
         self.viewings: dict[int, SessionState] = {}
@@ -36,7 +36,7 @@
 class SessionState:
     """One request for a session, from its arrival to its last outcome."""
 
-    def __init__(self, ask: Asked, now: int) -> None:
+    def __init__(self, ask: SessionRequest, now: int) -> None:
         self.ask, self.id, self.seat = ask, ask.id, (ask.title, ask.package)
         self.asked_at, self.sent_at, self.deadline = now, now, now + ask.left
         self.nth = -1
@@ -51,7 +51,7 @@
         self.pack: Package
         self.floor = self.top = 0
         self.ran_at: int | None = None
-        self.ran_near: Listed | None = None  # when and to whom an attempt was sent that may have run
+        self.ran_near: ServerEntry | None = None  # when and to whom an attempt was sent that may have run
         self.life: Generator[Any, Any, None]
         self.look_after = LOOK_UP  # look_after: when its server is looked at for room
 
--- a/flaxscale/front/boxes.py
+++ b/flaxscale/front/boxes.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ..interface import How, NoteKind
+from ..interface import NoteKind, Outcome
 from ..recovery.owed import Owed
 from ..recovery.watch import BoxWatch, Stream
 from ..serve import pool as wire
@@ -71,21 +71,21 @@
     # Probes
 
     def probe(self, box, done):
-        """Asks a box for its load. done(How, took, figures) comes once, later; it has as long as a connection has."""
+        """Asks a box for its load. done(outcome, took, figures) comes once, later, and in the time of a connection."""
         place, began = self.places.get(box), now()
         if place is None:
-            asyncio.get_running_loop().call_soon(done, How.UNREACHED, 0, ())
+            asyncio.get_running_loop().call_soon(done, Outcome.UNREACHED, 0, ())
             return
 
         def came(result):
             if isinstance(result, wire.Failed):
-                how = How.UNREACHED if not result.sent else How.TIMEOUT if result.late else How.RESET
+                how = Outcome.UNREACHED if not result.sent else Outcome.TIMEOUT if result.late else Outcome.RESET
                 done(how, now() - began, ())
                 return
             figures = load.decode(result.headers.get(load.FIELD))
             whole = result.status == 200 and all(name in figures for name in self.load_names)
             done(
-                How.OK if whole else How.ERROR,
+                Outcome.OK if whole else Outcome.ERROR,
                 now() - began,
                 tuple(figures[name] for name in self.load_names) if whole else (),
             )
@@ -132,7 +132,7 @@
             if isinstance(result, wire.Answer):
                 self.answered_under(box, place.boot, field[1], result)
             if isinstance(result, wire.Failed):
-                done(How.RESET if result.sent else How.UNREACHED, took, None, ())
+                done(Outcome.RESET if result.sent else Outcome.UNREACHED, took, None, ())
                 return
             done(self.how_of(result), took, result, self.notes_of(result.headers))
 
@@ -155,8 +155,8 @@
         if answer.status == 201 and "location" in answer.headers:
             return None
         if answer.headers.get(RAN) == "no":
-            return {503: How.FULL, 404: How.LACKING, 421: How.LACKING}.get(answer.status, How.MOOT)
-        return How.ERROR
+            return {503: Outcome.FULL, 404: Outcome.LACKING, 421: Outcome.LACKING}.get(answer.status, Outcome.MOOT)
+        return Outcome.ERROR
 
     def notes_of(self, headers):
         figures = load.decode(headers.get(load.FIELD))
@@ -275,7 +275,7 @@
             if id is not None:
                 self.over(box, key)
                 self.log.info("fenced", viewing=id, box=box)
-                self.owner.session_over(id, How.OK)
+                self.owner.session_over(id, Outcome.OK)
 
     # Notes
 
@@ -340,7 +340,7 @@
                 self.owner.over_early(over.key)
             else:
                 self.over(box, over.key)
-                self.owner.session_over(id, How.RESET if over.how == "lost" else How.OK, over.to)
+                self.owner.session_over(id, Outcome.RESET if over.how == "lost" else Outcome.OK, over.to)
             return
         id = self.keys(box).get(note.key)
         if id is None:
@@ -358,7 +358,7 @@
             if id is not None:
                 self.over(box, key)
                 self.log.info("viewing lost", viewing=id, box=box, why=why)
-                self.owner.session_over(id, How.RESET)
+                self.owner.session_over(id, Outcome.RESET)
 
     async def close(self):
         for timer in self.pushing.values():
--- a/flaxscale/front/front.py
+++ b/flaxscale/front/front.py
@@ -13,17 +13,17 @@
 import msgspec
 import xxhash
 
-from .. import interface as face
+from .. import interface
 from ..admission.gate import Gate
 from ..admission.still import Still
 from ..catalogue.view import FileView, LiveView, title_id
 from ..http1 import fields
 from ..http1.server import Limits
-from ..interface import How
+from ..interface import Outcome
 from ..members import orders
 from ..recovery.boxes import BoxBook
 from ..recovery.keys import Clash, Joined, Kept, KeyBook
-from ..run import Fate, Runner
+from ..run import AnswerKind, Runner
 from ..serve.clock import now
 from ..serve.server import Server, Times
 from ..signalling import endpoint
@@ -477,7 +477,7 @@
             left = due - now()
             left = left - age if age < left else left
             self.runner.asked(
-                face.Asked(
+                interface.SessionRequest(
                     vw.id,
                     number,
                     row.title,
@@ -660,7 +660,7 @@
             vw.slot_wait = max(0, self.runner.due - vw.taken_at)
         offer, key, place = vw.offer, vw.key, self.boxes.places.get(server)
         if not self.tries.may_go(vw, place):
-            self.never_sent(id, nth, key, How.LACKING)
+            self.never_sent(id, nth, key, Outcome.LACKING)
             return
         headers = [
             ("Content-Type", endpoint.SDP),
@@ -682,7 +682,7 @@
             lambda *what: self.came(vw, nth, server, place, key, *what),
         )
         if vw.call is None:  # the list has just dropped it
-            self.never_sent(id, nth, key, How.UNREACHED)
+            self.never_sent(id, nth, key, Outcome.UNREACHED)
         self.steps.at("sent")
 
     def never_sent(self, id, nth, key, how):
@@ -693,7 +693,7 @@
         """The outcome of a set-up."""
         vw.call = None
         if how is not None:
-            if how in (How.RESET, How.ERROR):
+            if how in (Outcome.RESET, Outcome.ERROR):
                 self.boxes.end(server, key)  # it may have run: whatever stands there is ended
             self.not_out(key)
             self.lines.info("tune-in failed", viewing=vw.id, nth=nth, box=server, how=how.value, took=took)
@@ -706,7 +706,7 @@
             self.not_out(key)
             if vw.done:
                 self.dismiss(vw)
-            self.runner.ended(vw.id, nth, How.RESET, took)
+            self.runner.ended(vw.id, nth, Outcome.RESET, took)
             return
         vw.came, vw.path, vw.place = answer, answer.headers["location"], place[:2]
         self.boxes.plays(server, key, vw.id, answer.headers.get("flaxscale-boot"))
@@ -737,14 +737,14 @@
     def answer(self, id, answer):
         vw = self.viewings[id]
         self.counts[answer.fate.value] += 1
-        self.audit.did("answer" if answer.fate is Fate.PLAYS else "refusal", vw.name)
-        if answer.fate is Fate.PLAYS:
+        self.audit.did("answer" if answer.fate is AnswerKind.PLAYS else "refusal", vw.name)
+        if answer.fate is AnswerKind.PLAYS:
             vw.plays = True
             reply = self.played(vw)
             self.keys.answered(id, reply, now())
         else:
             self.keys.answered(id, None, now())
-            reply = self.turned_away(answer) if answer.fate is not Fate.LEFT else None
+            reply = self.turned_away(answer) if answer.fate is not AnswerKind.LEFT else None
             vw.done = True
             if vw.call is None:  # else it is kept until its tune-in is called off or comes back
                 self.dismiss(vw)
@@ -760,7 +760,7 @@
             overdue=answer.overdue,
             trace=vw.offer.trace,
         )
-        if vw.offer is not None and answer.fate is not Fate.LEFT:
+        if vw.offer is not None and answer.fate is not AnswerKind.LEFT:
             self.gate.answered(now() - vw.taken_at)
         askers, vw.askers = vw.askers, []
 
@@ -784,12 +784,12 @@
         return 201, [*rows, *endpoint.CORS], came.body
 
     def turned_away(self, answer):
-        if answer.fate is Fate.BLOCKED:
+        if answer.fate is AnswerKind.BLOCKED:
             rows = [("Retry-After", str(max(1, fields.seconds_up(answer.hold_off))))] if answer.hold_off else []
             no = Refusal(
                 503, "nothing that holds this title has room", rows, fate="blocked", hold_off_ms=answer.hold_off / 10
             )
-        elif answer.overdue or answer.how in (How.TIMEOUT, How.CANCELLED, None):
+        elif answer.overdue or answer.how in (Outcome.TIMEOUT, Outcome.CANCELLED, None):
             no = Refusal(504, "no video server answered in time", fate="aborted")
         else:
             no = Refusal(502, f"the video server failed: {answer.how.value}", fate="aborted")
--- a/flaxscale/front/members.py
+++ b/flaxscale/front/members.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from .. import interface as face
+from .. import interface
 from ..members.adopt import PAUSE, TRIES, Course, Session, keeper_of, plan, whom
 from ..members.ration import Ration
 from ..members.seats import SeatBook
@@ -448,6 +448,6 @@
 
 def ask_of(id, cookie, package, title, row, top):
     """What the module is told of a viewing that plays already."""
-    return face.Asked(
+    return interface.SessionRequest(
         id, package, title, cookie.viewer, 0, min(cookie.top, top), row.first_cell, row.cells, cookie.hint, False, False
     )
--- a/flaxscale/interface.py
+++ b/flaxscale/interface.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 
-class How(Enum):
+class Outcome(Enum):
     """How a tune-in ended."""
 
     OK = "ok"
@@ -22,7 +22,7 @@
     LACKING = "lacking"  # the server does not hold the title, and nothing ran
 
 
-class State(Enum):
+class ServerStatus(Enum):
     """What the list says of a server."""
 
     GONE = "gone"
@@ -137,25 +137,25 @@
     goal: Goal
 
 
-class Listed(NamedTuple):
+class ServerEntry(NamedTuple):
     server: int
     kind: int
     cell: int
     zone: int
     weight: float
     started_at: int  # 0: long ago
-    state: State
+    state: ServerStatus
 
 
 # Events
 
 
-class Listing(NamedTuple):
+class ServerListUpdate(NamedTuple):
     kind: ListKind
     entries: tuple
 
 
-class Asked(NamedTuple):
+class SessionRequest(NamedTuple):
     id: int
     package: int
     title: int
@@ -169,7 +169,7 @@
     again: bool
 
 
-class Catalogued(NamedTuple):
+class TitleUpdate(NamedTuple):
     """What a title is from now on. A title that was never told goes by its request's cells in a row."""
 
     title: int
@@ -179,7 +179,7 @@
     seats: tuple  # (package, seats) where they differ from the package's own
 
 
-class Kept(NamedTuple):
+class PeakReservations(NamedTuple):
     """Room kept for viewings of these titles, from now until it is told anew."""
 
     rooms: dict  # server: kB a second of its link, what they use of it already included
@@ -187,33 +187,33 @@
     packages: dict  # the same for all titles of a package
 
 
-class Reserved(NamedTuple):
+class SeatReservations(NamedTuple):
     """Seats that viewings may take which are not held yet, from now until it is told anew."""
 
     seats: dict  # (title, package): claims that are out there
     servers: frozenset  # those that may play what an earlier life of this instance left, and did not say yet
 
 
-class Changed(NamedTuple):
+class TermsChanged(NamedTuple):
     """Other terms from now on. Packages, kinds and zones keep their numbers; new ones come after them."""
 
     terms: SiteTerms
 
 
-class HandedOver(NamedTuple):
-    viewing: Asked
+class SessionHandedOver(NamedTuple):
+    viewing: SessionRequest
     server: int
     age: int = 1 << 60  # how long it has played there; not told: long
 
 
-class Begun(NamedTuple):
+class AttemptSucceeded(NamedTuple):
     id: int
     nth: int
     server: int
     took: int
 
 
-class Note(NamedTuple):
+class PlaybackNote(NamedTuple):
     id: int
     nth: int
     server: int
@@ -221,32 +221,32 @@
     amount: float
 
 
-class Ended(NamedTuple):
+class AttemptEnded(NamedTuple):
     id: int
     nth: int
     server: int
-    how: How
+    how: Outcome
     took: int
     over: bool
     load: tuple  # as FleetTerms.load_names; empty: none came
 
 
-class Left(NamedTuple):
+class ClientLeft(NamedTuple):
     id: int
 
 
-class Alarm(NamedTuple):
+class TimerFired(NamedTuple):
     token: int
 
 
-class Probed(NamedTuple):
+class ProbeEnded(NamedTuple):
     server: int
-    how: How
+    how: Outcome
     took: int
     load: tuple
 
 
-class PeerSays(NamedTuple):
+class PeerLoadChange(NamedTuple):
     """Another manager asks so much more (or less) of a server."""
 
     peer: int
--- a/flaxscale/jsonl/messages.py
+++ b/flaxscale/jsonl/messages.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ..interface import How
+from ..interface import Outcome
 
 CALL = re.compile(r"[0-9a-f]{16}\Z")
 KEY = re.compile(r"[0-9a-f]{1,16}\Z")
@@ -18,8 +18,8 @@
 
 # Causes (ITU-T Q.850) as the platform gives them meaning.
 NORMAL, MOVED, FULL, CUT, FAILED, BAD, NEVER = 16, 31, 34, 41, 47, 100, 102
-BEFORE = {FULL: How.FULL, FAILED: How.ERROR, NEVER: How.MOOT}  # other causes: the set-up broke on its way
-AFTER = {NORMAL: How.OK, MOVED: How.CANCELLED}  # other causes: what played was cut
+BEFORE = {FULL: Outcome.FULL, FAILED: Outcome.ERROR, NEVER: Outcome.MOOT}  # other causes: the set-up broke on its way
+AFTER = {NORMAL: Outcome.OK, MOVED: Outcome.CANCELLED}  # other causes: what played was cut
 ANSWERS = ("accept", "end")
 
 
--- a/flaxscale/model/fleet.py
+++ b/flaxscale/model/fleet.py
@@ -2,8 +2,8 @@
 
 from collections import defaultdict
 
-from .. import interface as face
-from ..interface import ListKind, State
+from .. import interface
+from ..interface import ListKind, ServerStatus
 from ..lab.shapes import link_of
 from ..leases.fence import Fence
 from ..standins.box import Box, Place
@@ -74,9 +74,11 @@
 
     def row(self, box):
         place, age = box.place, self.world.now - box.box.started_at
-        state = State.GONE if box.dead else State.DRAINING if box.box.trouble.drain else State.READY
+        state = (
+            ServerStatus.GONE if box.dead else ServerStatus.DRAINING if box.box.trouble.drain else ServerStatus.READY
+        )
         started = 0 if age >= self.site.warm_within else box.box.started_at
-        return face.Listed(
+        return interface.ServerEntry(
             place.id,
             self.sense.kinds[place.kind],
             place.cell,
@@ -108,4 +110,4 @@
             manager.listed([row])
 
     def full(self):
-        return [row for row in self.told.values() if row.state is not State.GONE]
+        return [row for row in self.told.values() if row.state is not ServerStatus.GONE]
--- a/flaxscale/model/judge.py
+++ b/flaxscale/model/judge.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from .. import interface as face
+from .. import interface
 from ..hunt import space
 from ..hunt.marks import marks_of
 from ..hunt.search import Outcome
@@ -77,7 +77,7 @@
     def told_one(self, manager, row):
         if manager.up and self.play.world.now >= manager.until:
             self.told_start[manager.me, manager.life, row.server] = row.started_at
-            if row.state is face.State.READY:
+            if row.state is interface.ServerStatus.READY:
                 self.told[manager.me].pop(row.server, None)
             else:
                 self.told[manager.me].setdefault(row.server, self.play.world.now)
@@ -88,7 +88,7 @@
             rows = {row.server: row for row in self.play.fleet.full()}
             self.told_start |= {(manager.me, life, row.server): row.started_at for row in rows.values()}
             for server in self.play.fleet.boxes:
-                if server not in rows or rows[server].state is not face.State.READY:
+                if server not in rows or rows[server].state is not interface.ServerStatus.READY:
                     self.told[manager.me].setdefault(server, self.play.world.now)
                 else:
                     self.told[manager.me].pop(server, None)
@@ -97,16 +97,16 @@
         self.breaks.append((kind, f"{self.play.day_s():.2f} s: {detail}"))
 
     def tap(self, now, event, acts):
-        if isinstance(event, face.Ended):
+        if isinstance(event, interface.AttemptEnded):
             self.out[event.id] -= 1
         for act in acts:
-            if isinstance(act, face.TuneIn):
+            if isinstance(act, interface.TuneIn):
                 self.out[act.id] += 1
                 if self.out[act.id] > 1:
                     self.broke("rule 2", f"viewing {act.id}: two tune-ins out")
-            elif isinstance(act, (face.Block, face.Abort)):
+            elif isinstance(act, (interface.Block, interface.Abort)):
                 self.answers[act.id] += 1
-        if isinstance(event, face.Begun):
+        if isinstance(event, interface.AttemptSucceeded):
             self.answers[event.id] += 1
         id = getattr(event, "id", None)
         if id is not None and self.answers[id] > 1:
--- a/flaxscale/model/manager.py
+++ b/flaxscale/model/manager.py
@@ -1,6 +1,6 @@
 """A session manager in virtual time: the very runner and module of the front, behind a port without sockets."""
 
-from ..interface import How, ListKind, State
+from ..interface import ListKind, Outcome, ServerStatus
 from ..run import Phase, Runner
 from ..site.terms import Sense
 from .duties import Duties
@@ -40,15 +40,15 @@
     # What it holds, and under which name and epoch
 
     def boxes(self):
-        return [row.server for row in self.told.values() if row.state is not State.GONE]
+        return [row.server for row in self.told.values() if row.state is not ServerStatus.GONE]
 
     def lists(self, box):
         row = self.told.get(box)
-        return row is not None and row.state is not State.GONE
+        return row is not None and row.state is not ServerStatus.GONE
 
     def listed(self, rows):
         if self.taker is not None:
-            self.taker.listed([row.server for row in rows if row.state is not State.GONE])
+            self.taker.listed([row.server for row in rows if row.state is not ServerStatus.GONE])
 
     def key_of(self, id, nth):
         """(key, epoch) of a session, or of a set-up, at its box."""
@@ -95,7 +95,7 @@
         self.viewings.pop(id)
         self.claimed.pop(id, None)
         if held is not None:
-            self.runner.ended(id, held.nth, How.OK, 0)
+            self.runner.ended(id, held.nth, Outcome.OK, 0)
 
     def keep_room(self, s):
         """Each second: the room for announced peaks, from this manager's own list."""
@@ -194,7 +194,7 @@
             return
         if how is None and id in self.early:  # it is another's by now
             self.early.discard(id)
-            self.runner.ended(id, nth, How.RESET, took)
+            self.runner.ended(id, nth, Outcome.RESET, took)
         elif how is None:
             notes = [(kind, figures[name]) for name, kind in self.figures.items()]
             if not self.runner.begun(id, nth, took, notes):
@@ -210,7 +210,7 @@
         if self.up and life == self.life:
             self.runner.probed(server, how, took, [figures[name] for name in self.load_names] if figures else ())
 
-    def lost(self, life, id, nth, how=How.RESET):
+    def lost(self, life, id, nth, how=Outcome.RESET):
         if self.stands(self.lost, life, id, nth, how):
             return
         if self.up and life == self.life and id in self.viewings:
--- a/flaxscale/model/play.py
+++ b/flaxscale/model/play.py
@@ -8,14 +8,14 @@
 
 from collections import Counter, defaultdict
 
-from .. import interface as face
-from ..interface import How, ListKind, NoteKind
+from .. import interface
+from ..interface import ListKind, NoteKind, Outcome
 from ..lab.day import arrivals
 from ..lab.shapes import holders_of, ways_of
 from ..lab.ways import CLEAR, Fault, Ways, in_pieces
 from ..leases.duties import tasks_of
 from ..peaks.keeper import RoomKeeper, Surroundings, rates_of
-from ..run import Fate
+from ..run import AnswerKind
 from ..site.terms import Sense
 from ..standins.box import site_of
 from .bound import of_play
@@ -207,7 +207,7 @@
         """What a module is told of a viewing. left: of its patience."""
         p, wish = vw.player, vw.player.wish
         title, rungs = self.day.site.titles[wish.title], len(self.day.site.ladder.kb) - 1
-        return face.Asked(
+        return interface.SessionRequest(
             vw.id,
             p.package,
             self.titles[wish.title],
@@ -240,7 +240,7 @@
 
     def answered(self, manager, vw, answer):
         """The manager's answer; the player hears it a moment later."""
-        if answer.fate is Fate.PLAYS:
+        if answer.fate is AnswerKind.PLAYS:
             vw.playing = True
             self.world.later(CLIENT, self.plays, vw)
             return
@@ -250,7 +250,7 @@
         if not vw.gone:
             vw.gone = True
             self.second().fates[answer.fate.value] += 1
-            if answer.fate is not Fate.LEFT:
+            if answer.fate is not AnswerKind.LEFT:
                 self.world.later(max(CLIENT, answer.hold_off), self.come_again, vw.player)
 
     def plays(self, vw):
@@ -349,10 +349,10 @@
         if holder.dead or holder.box.trouble.hang or cut:
             limit = round(self.day.site.allowed.dial_timeout_ms * 10)
             self.world.later(
-                limit, manager.probed, life, server, How.UNREACHED if holder.dead else How.TIMEOUT, limit, None
+                limit, manager.probed, life, server, Outcome.UNREACHED if holder.dead else Outcome.TIMEOUT, limit, None
             )
         else:
-            self.world.later(2 * NET, manager.probed, life, server, How.OK, 2 * NET, holder.figures(self.world.now))
+            self.world.later(2 * NET, manager.probed, life, server, Outcome.OK, 2 * NET, holder.figures(self.world.now))
 
     def at_box(self, manager, life, vw, key, server, rung, sent_at, boot):
         """boot: the box's start to which it was sent; a later one never hears of it, as its connection is gone."""
@@ -364,25 +364,29 @@
             )
 
         if holder.dead:
-            answer(0, How.UNREACHED)
+            answer(0, Outcome.UNREACHED)
             return
         if holder.boot != boot:
-            answer(0, How.RESET)
+            answer(0, Outcome.RESET)
             return
         box, t = holder.box, holder.box.trouble
         if t.hang:
             return
         if t.reset_before and box.chance() < t.reset_before:
-            answer(0, How.RESET)
+            answer(0, Outcome.RESET)
             return
         verdict, session = box.set_up(key, vw.player.wish.title, vw.player.wish.sends, manager.name, rung, now)
         if verdict.status == 0:
             self.fleet.fell += 1
             self.die(holder)
-            answer(0, How.RESET)
+            answer(0, Outcome.RESET)
             return
         if session is None:
-            how = {503: How.FULL, 404: How.LACKING}.get(verdict.status, How.MOOT) if not verdict.ran else How.ERROR
+            how = (
+                {503: Outcome.FULL, 404: Outcome.LACKING}.get(verdict.status, Outcome.MOOT)
+                if not verdict.ran
+                else Outcome.ERROR
+            )
             self.second().tune_ins[how.value] += 1
             answer(verdict.after, how)
             return
@@ -393,7 +397,7 @@
         if lost:
             return
         if t.reset_after and box.chance() < t.reset_after:
-            answer(verdict.after, How.RESET)
+            answer(verdict.after, Outcome.RESET)
             self.world.later(verdict.after, self.end_at_box, server, key, manager, 0)
             return
         self.world.later(verdict.after, self.answer_up, holder, holder.boot, manager, life, vw, key, sent_at)
@@ -411,7 +415,7 @@
                     life,
                     vw.id,
                     key[3],
-                    How.RESET,
+                    Outcome.RESET,
                     sent_at,
                     None,
                 )
@@ -483,7 +487,7 @@
         if holder.dead or holder.boot != boot or session is None or vw is None or vw.playing and not vw.gone:
             return
         owner = self.named(session.manager)
-        self.send(f"b{holder.place.id}", owner.name, NET, owner.lost, session.life, key[2], key[3], How.OK)
+        self.send(f"b{holder.place.id}", owner.name, NET, owner.lost, session.life, key[2], key[3], Outcome.OK)
         self.over_at_box(holder, key)
 
     def begin_lease(self, server, key, name, life):
@@ -744,7 +748,7 @@
         self.down["m", manager.me] -= 1
         if self.down["m", manager.me]:
             return
-        manager.start([row for row in manager.told.values() if row.state is not face.State.GONE])
+        manager.start([row for row in manager.told.values() if row.state is not interface.ServerStatus.GONE])
         self.send("list", manager.name, round(self.fleet.late), self.full_list, manager, manager.life)
 
     def stopping(self, manager, life, until, span):
--- a/flaxscale/peaks/keeper.py
+++ b/flaxscale/peaks/keeper.py
@@ -12,7 +12,7 @@
 
 from typing import NamedTuple
 
-from ..interface import State
+from ..interface import ServerStatus
 
 HALF = 6.0  # seconds in which what did not come is halved
 GRACE = 3.0  # seconds after the start before anything counts as not come
@@ -76,7 +76,7 @@
         """
         rooms, racks, self.given_up, self.kept = {}, {}, 0.0, {}
         titles, packages = {}, {}
-        ready = {id for id, (row, _) in servers.items() if row.state is State.READY}
+        ready = {id for id, (row, _) in servers.items() if row.state is ServerStatus.READY}
 
         def keep(id, kb):
             """Keeps so much more at a box, as far as it may; returns what it kept."""
--- a/flaxscale/platform/belief.py
+++ b/flaxscale/platform/belief.py
@@ -4,7 +4,7 @@
 what the shell itself sent and got (set-ups out, viewings that stand).
 """
 
-from .. import interface as face
+from .. import interface
 
 
 class Belief:
@@ -18,7 +18,7 @@
     def noted(self, server, kind, told):
         """Before the module hears a figure of a link: how far its own account was off."""
         srv = self.host.runner.manager.servers.get(server)
-        if kind is not face.NoteKind.LINK or srv is None or srv.link.heard_at is None:
+        if kind is not interface.NoteKind.LINK or srv is None or srv.link.heard_at is None:
             return
         gap = srv.link.use() - told
         self.notes += 1
--- a/flaxscale/platform/bulletin.py
+++ b/flaxscale/platform/bulletin.py
@@ -2,11 +2,11 @@
 
 import msgspec
 
-from ..interface import Listed, ListKind, State
+from ..interface import ListKind, ServerEntry, ServerStatus
 from ..jsonl.messages import server_number
 from .starttimes import StartTimes
 
-STATES = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
+STATES = {"SERVING": ServerStatus.READY, "DRAINING": ServerStatus.DRAINING, "DELETED": ServerStatus.GONE}
 
 
 class Unreadable(ValueError):
@@ -95,8 +95,8 @@
             kind = self.config.kinds.index(row.kind) if row.kind in self.config.kinds else 0
             state = STATES[row.state]
             started_at = self.starts.of(number, row.started_ms, self.now(), self.followed)
-            if state is State.GONE:
+            if state is ServerStatus.GONE:
                 self.starts.forget(number)
-            entries.append(Listed(number, kind, row.cell, zone, row.weight, started_at, state))
+            entries.append(ServerEntry(number, kind, row.cell, zone, row.weight, started_at, state))
             addresses[number] = host, int(port)
         return News(ListKind.FULL if roster.full else ListKind.DELTA, tuple(entries), addresses)
--- a/flaxscale/platform/endpoints.py
+++ b/flaxscale/platform/endpoints.py
@@ -8,7 +8,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from ..interface import How, State
+from ..interface import Outcome, ServerStatus
 from ..jsonl import messages
 from ..jsonl.lines import Lines
 from ..jsonl.messages import Fault
@@ -135,14 +135,14 @@
         self.heard_at = host.now()
         self.fails = self.refusals = self.again_at = 0  # connections that came to nothing, since one came up
         self.gone = False  # another server has its address
-        self.listed, self.started_at = State.READY, started_at
+        self.listed, self.started_at = ServerStatus.READY, started_at
 
     # Attempts
 
     def attempt(self, session):
         """Sends a set-up on an idle connection, or on a new one."""
         if self.gone:
-            self.host.soon_ended(session, How.UNREACHED)
+            self.host.soon_ended(session, Outcome.UNREACHED)
         elif connection := self.idle_connection():
             self.send(connection, session)
         elif self.host.descriptors.room_to_dial():
@@ -151,7 +151,7 @@
             self.dial(session)
         else:
             self.host.counts["no descriptor"] += 1
-            self.host.soon_ended(session, How.MOOT)
+            self.host.soon_ended(session, Outcome.MOOT)
 
     def idle_connection(self):
         free = [connection for connection in self.connections if connection.free()]
@@ -162,7 +162,7 @@
         now = self.host.now()
         left = (session.expire_at - now) // MILLISECOND
         if left < 1:  # a whole millisecond is the least that can be told, and it would be more than there is
-            self.host.soon_ended(session, How.MOOT)
+            self.host.soon_ended(session, Outcome.MOOT)
             return
         if session.call in self.releases:  # an earlier attempt of the same name is ended first
             connection.say(messages.line("end", session.call, why=self.releases.pop(session.call).cause))
@@ -242,7 +242,7 @@
             connection.abort()
             if waits:
                 del self.waiting[session.call]
-                host.ended(session, How.UNREACHED)
+                host.ended(session, Outcome.UNREACHED)
             return
         self.connections.add(connection)
         self.heard_at = host.now()
@@ -255,13 +255,13 @@
         host, local = self.host, is_local(error)
         if local:
             host.said("local error", call="connect", error=str(error))
-            how = How.MOOT
+            how = Outcome.MOOT
         else:
             refused = isinstance(error, ConnectionRefusedError)
             host.counts["dials refused" if refused else "dials that came to nothing"] += 1
             self.fails += 1
             self.refusals += refused
-            how = How.UNREACHED
+            how = Outcome.UNREACHED
         self.again_at = host.now() + (DIAL_AGAIN if self.fails < PROOFS else DIAL_AGAIN_LONG)
         if session is not None and self.waiting.pop(session.call, None):
             host.ended(session, how)
@@ -276,7 +276,7 @@
             # It may have run, and may stand there: ended by name, on another connection.
             self.release(call, messages.NORMAL)
             # An error of this machine's own is no failure of the server: as if we had called the attempt off.
-            self.host.ended(session, How.CANCELLED if is_local(error) else How.RESET)
+            self.host.ended(session, Outcome.CANCELLED if is_local(error) else Outcome.RESET)
         if not self.host.over:
             self.flush()
 
@@ -340,7 +340,7 @@
     def forgettable(self):
         """Off the list, with nothing of ours there or under way."""
         return (
-            (self.gone or self.listed is State.GONE)
+            (self.gone or self.listed is ServerStatus.GONE)
             and not (self.playing or self.waiting or self.dialing or self.releases and not self.gone)
             and all(connection.free() for connection in self.connections)
         )
@@ -382,7 +382,7 @@
         connection.call, session.connection, connection.since = None, None, host.now()
         early = self.early.pop(message.call, None)
         if not accepted:
-            how = messages.BEFORE.get(message.why, How.RESET)
+            how = messages.BEFORE.get(message.why, Outcome.RESET)
             host.ended(session, how, messages.load(message, host.config.figures))
             return
         host.begun(self, session, message)
--- a/flaxscale/platform/host.py
+++ b/flaxscale/platform/host.py
@@ -7,10 +7,10 @@
 import asyncio
 from collections import Counter
 
-from ..interface import Asked, How
+from ..interface import Outcome, SessionRequest
 from ..jsonl import messages
 from ..jsonl.messages import CallTaken, Fault
-from ..run import Fate, Runner
+from ..run import AnswerKind, Runner
 from ..serve.clock import unix_clock
 from ..site.load import SiteError
 from ..site.settings import NOTE_NAMES, PEER_WORD, span
@@ -302,7 +302,7 @@
         self.settle(session)
 
     def asked(self, setup, left):
-        return Asked(
+        return SessionRequest(
             setup.id,
             self.config.packages.index(setup.package),
             setup.title,
@@ -341,7 +341,7 @@
         self.runner.left(session.id)
         if session.id in self.runner.held and session.endpoint is not None and session.endpoint.withdraw(session):
             # The settings allow no calling off, but what has not left us yet never goes.
-            self.runner.ended(session.id, session.nth, How.MOOT, self.now() - session.sent_at)
+            self.runner.ended(session.id, session.nth, Outcome.MOOT, self.now() - session.sent_at)
         self.settle(session)
 
     def settle(self, session):
@@ -387,12 +387,12 @@
 
     def over_there(self, endpoint, session, message):
         """What stood is over, as its server says."""
-        how = messages.AFTER.get(message.why, How.RESET)
+        how = messages.AFTER.get(message.why, Outcome.RESET)
         self.counts[f"over {how.value}"] += 1
         load = messages.load(message, self.config.figures)
         self.runner.ended(session.id, session.nth, how, self.now() - session.sent_at, load)
         self.settle(session)
-        if how is not How.CANCELLED:
+        if how is not Outcome.CANCELLED:
             self.releases.release(session, message.why)
 
     def cut(self, id):
@@ -403,7 +403,7 @@
         self.counts["cut with its server"] += 1
         if not session.endpoint.gone:
             session.endpoint.release(session.call, messages.NORMAL)
-        self.runner.ended(id, session.nth, How.RESET, self.now() - session.sent_at)
+        self.runner.ended(id, session.nth, Outcome.RESET, self.now() - session.sent_at)
         self.settle(session)
         self.releases.release(session, messages.CUT)
 
@@ -430,7 +430,7 @@
         session.expire_at = session.sent_at + left
         self.counts["tune-ins"] += 1
         if endpoint is None:
-            self.soon_ended(session, How.UNREACHED)
+            self.soon_ended(session, Outcome.UNREACHED)
         else:
             session.endpoint = endpoint
             self.servers.busy.add(endpoint)
@@ -452,14 +452,14 @@
     def answer(self, id, answer):
         session = self.sessions[id]
         self.counts[f"answered {answer.fate.value}"] += 1
-        if answer.fate is Fate.PLAYS:
+        if answer.fate is AnswerKind.PLAYS:
             session.client.carried += 1
             session.client.answer(session, messages.line("accept", session.call, desc=session.answer))
-        elif answer.fate is Fate.BLOCKED:
+        elif answer.fate is AnswerKind.BLOCKED:
             # The platform's clients stay away for whole milliseconds.
             fields = {"wait": answer.hold_off // 10} if answer.hold_off else {}
             session.client.answer(session, messages.line("end", session.call, fields, messages.FULL))
-        elif answer.fate is Fate.ABORTED:
+        elif answer.fate is AnswerKind.ABORTED:
             session.client.answer(session, messages.line("end", session.call, why=messages.CUT))
         else:
             session.client.open.pop(session.call, None)
@@ -468,7 +468,7 @@
         self.peers.say(PEER_WORD.pack(server, kb))
 
     def probe(self, server):
-        self.loop.call_soon(self.runner.probed, server, How.ERROR, 0)
+        self.loop.call_soon(self.runner.probed, server, Outcome.ERROR, 0)
 
     def log(self, text):
         self.said("module", text=text)
--- a/flaxscale/platform/serverlist.py
+++ b/flaxscale/platform/serverlist.py
@@ -1,6 +1,6 @@
 """The media servers of the list, as endpoints; upkeep is of those only where something of ours is."""
 
-from ..interface import State
+from ..interface import ServerStatus
 from .endpoints import Endpoint
 
 
@@ -20,11 +20,11 @@
         endpoint = self.endpoints.get(row.server)
         if endpoint is not None:
             endpoint.told(row)
-        if row.state is State.GONE:
+        if row.state is ServerStatus.GONE:
             if endpoint is not None and endpoint.forgettable():
                 self.forget(endpoint)
             return
-        ready = row.state is State.READY
+        ready = row.state is ServerStatus.READY
         if endpoint is not None and endpoint.address == address and not (endpoint.gone and ready):
             return
         # Who serves now has the address; what is told later of one that had it before must not take it away.
--- a/flaxscale/recovery/boxes.py
+++ b/flaxscale/recovery/boxes.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
-from .. import interface as face
-from ..interface import ListKind, State
+from .. import interface
+from ..interface import ListKind, ServerStatus
 
-STATES = {"ready": State.READY, "draining": State.DRAINING, "gone": State.GONE}
+STATES = {"ready": ServerStatus.READY, "draining": ServerStatus.DRAINING, "gone": ServerStatus.GONE}
 
 
 class Row(msgspec.Struct):
@@ -42,7 +42,7 @@
     host: str
     port: int
     boot: str
-    state: State
+    state: ServerStatus
     since: int  # when this start of it was first heard of, by our clock
 
 
@@ -104,7 +104,7 @@
 
     def listed(self, row, now):
         state = STATES[row.state]
-        if state is State.GONE:
+        if state is ServerStatus.GONE:
             self.drop(row.id)
         else:
             self.rows[row.id] = row
@@ -112,7 +112,7 @@
             held = self.places.get(row.id)
             since = held.since if held is not None and held.boot == row.boot else now
             self.places[row.id] = Place(host, int(port), row.boot, state, since)
-        return face.Listed(
+        return interface.ServerEntry(
             row.id, self.kinds[row.kind], row.cell, self.zones[row.zone], row.weight, self.started_at(row, now), state
         )
 
--- a/flaxscale/run.py
+++ b/flaxscale/run.py
@@ -13,9 +13,9 @@
 from enum import Enum
 from typing import NamedTuple, Protocol
 
-from . import interface as face
+from . import interface
 from .decide import Manager
-from .interface import How, NoteKind
+from .interface import NoteKind, Outcome
 
 GUARD = 50  # an answer that the module still owes this long before the patience ends is an abort
 
@@ -28,7 +28,7 @@
     PLAYS = "plays"
 
 
-class Fate(Enum):
+class AnswerKind(Enum):
     """The one answer that a viewing gets."""
 
     PLAYS = "plays"
@@ -38,11 +38,11 @@
 
 
 class Answer(NamedTuple):
-    fate: Fate
+    fate: AnswerKind
     server: int | None  # where it plays
     rung: int
     hold_off: int  # blocked: how long to stay away; 0: no advice
-    how: How | None  # how the last tune-in ended, for whoever must tell why
+    how: Outcome | None  # how the last tune-in ended, for whoever must tell why
     overdue: bool = False  # the module had not answered when the patience ended
 
 
@@ -61,7 +61,7 @@
     def log(self, text: str) -> None: ...
 
 
-class Held:
+class SessionRecord:
     """One viewing as the runner knows it."""
 
     __slots__ = "ask", "phase", "nth", "server", "rung", "deadline", "answered", "sent_at", "how"
@@ -89,22 +89,22 @@
         self.due = 0  # the time that this step was due at: now, or that of the timer that is late
         # What came of each action, by its type: one look-up an action, since this is the hot path.
         self.does = {
-            face.TuneIn: self.tune_in,
-            face.SetRung: self.set_rung,
-            face.Block: self.block,
-            face.Abort: self.abort,
-            face.CallOff: self.call_off,
-            face.Move: self.move,
-            face.Remind: self.remind,
-            face.TellPeers: lambda act: port.tell_peers(act.server, act.kb),
-            face.Probe: lambda act: port.probe(act.server),
-            face.Log: lambda act: port.log(act.text),
+            interface.TuneIn: self.tune_in,
+            interface.SetRung: self.set_rung,
+            interface.Block: self.block,
+            interface.Abort: self.abort,
+            interface.CallOff: self.call_off,
+            interface.Move: self.move,
+            interface.Remind: self.remind,
+            interface.TellPeers: lambda act: port.tell_peers(act.server, act.kb),
+            interface.Probe: lambda act: port.probe(act.server),
+            interface.Log: lambda act: port.log(act.text),
         }
 
     # What the world tells
 
     def listing(self, kind, entries):
-        self.step(face.Listing(kind, tuple(entries)))
+        self.step(interface.ServerListUpdate(kind, tuple(entries)))
 
     def catalogued(self, events):
         """What titles are now."""
@@ -114,11 +114,11 @@
 
     def reserved(self, seats, servers):
         """Seats that claims may take, and servers that may play what an earlier life of this manager left."""
-        self.step(face.Reserved(seats, servers))
+        self.step(interface.SeatReservations(seats, servers))
 
     def kept(self, rooms, titles, packages):
         """Room kept for announced peaks, from now on."""
-        self.step(face.Kept(rooms, titles, packages))
+        self.step(interface.PeakReservations(rooms, titles, packages))
 
     def answer_by(self, at):
         """A planned stop: whoever waits for an answer has one by then, and whoever comes later too."""
@@ -136,7 +136,7 @@
         self.now = self.port.now()
         if self.last_answer_at is not None:
             ask = ask._replace(left=max(0, min(ask.left, self.last_answer_at - self.now)))
-        self.held[ask.id] = Held(ask, self.now + ask.left)
+        self.held[ask.id] = SessionRecord(ask, self.now + ask.left)
         self.at(self.now + max(0, ask.left - GUARD), OVERDUE, ask.id, 0)
         self.step(ask, self.now)
 
@@ -146,11 +146,11 @@
         age: how long it has played there, in tenths of a millisecond, where that is known.
         """
         self.now = self.port.now()
-        held = self.held[ask.id] = Held(ask, self.now + ask.left)
+        held = self.held[ask.id] = SessionRecord(ask, self.now + ask.left)
         held.phase, held.nth, held.server, held.rung, held.answered = Phase.PLAYS, 0, server, rung or 0, True
-        self.step(face.HandedOver(ask, server, *age), self.now)
+        self.step(interface.SessionHandedOver(ask, server, *age), self.now)
         if rung is not None:
-            self.step(face.Note(ask.id, 0, server, NoteKind.RUNG, float(rung)), self.now)
+            self.step(interface.PlaybackNote(ask.id, 0, server, NoteKind.RUNG, float(rung)), self.now)
 
     def begun(self, id, nth, took, load=()):
         """The box plays it. False: nobody waits for this tune-in any more, so the caller must end it there.
@@ -164,14 +164,14 @@
         if held.answered:  # the client left while the tune-in was out and it could not be called off
             held.phase = Phase.WAITS
             self.port.end(id, nth, server)
-            self.step(face.Ended(id, nth, server, How.CANCELLED, took, True, ()), now)
+            self.step(interface.AttemptEnded(id, nth, server, Outcome.CANCELLED, took, True, ()), now)
             self.forget(id)
             return True
         held.phase = Phase.PLAYS
-        self.tell(id, held, Answer(Fate.PLAYS, server, held.rung, 0, None))
-        self.step(face.Begun(id, nth, server, took), now)
+        self.tell(id, held, Answer(AnswerKind.PLAYS, server, held.rung, 0, None))
+        self.step(interface.AttemptSucceeded(id, nth, server, took), now)
         for kind, amount in load:
-            self.step(face.Note(id, nth, server, kind, amount), now)
+            self.step(interface.PlaybackNote(id, nth, server, kind, amount), now)
         return True
 
     def ended(self, id, nth, how, took, load=()):
@@ -183,7 +183,7 @@
         held.phase, held.server, held.how = Phase.WAITS, None, how
         if over:
             self.held.pop(id)
-        self.step(face.Ended(id, nth, server, how, took, over, load))
+        self.step(interface.AttemptEnded(id, nth, server, how, took, over, load))
         return True
 
     def left(self, id):
@@ -195,29 +195,31 @@
         if held.phase is Phase.PLAYS:
             self.port.end(id, held.nth, held.server)
             self.held.pop(id)
-            self.step(face.Ended(id, held.nth, held.server, How.CANCELLED, now - held.sent_at, True, ()), now)
+            self.step(
+                interface.AttemptEnded(id, held.nth, held.server, Outcome.CANCELLED, now - held.sent_at, True, ()), now
+            )
             return
         if not held.answered:
-            self.tell(id, held, Answer(Fate.LEFT, None, 0, 0, held.how))
-            self.step(face.Left(id), now)
+            self.tell(id, held, Answer(AnswerKind.LEFT, None, 0, 0, held.how))
+            self.step(interface.ClientLeft(id), now)
             self.forget(id)
 
     def note(self, id, kind, amount):
         """News of a box, told on a viewing of ours that plays there."""
         held = self.held.get(id)
         if held is not None and held.phase is Phase.PLAYS:
-            self.step(face.Note(id, held.nth, held.server, kind, amount))
+            self.step(interface.PlaybackNote(id, held.nth, held.server, kind, amount))
 
     def peer_says(self, peer, server, kb):
-        self.step(face.PeerSays(peer, server, kb))
+        self.step(interface.PeerLoadChange(peer, server, kb))
 
     def probed(self, server, how, took, load=()):
         """What came of a probe; load: the figures that the terms name, in their order, or none."""
-        self.step(face.Probed(server, how, took, tuple(load)))
+        self.step(interface.ProbeEnded(server, how, took, tuple(load)))
 
     def changed(self, terms):
         """Other terms from now on. What was taken in stays: its phase, its deadline, the answer that it is owed."""
-        self.step(face.Changed(terms))
+        self.step(interface.TermsChanged(terms))
 
     def tick(self):
         """Timers that are due."""
@@ -225,7 +227,7 @@
         while self.timers and self.timers[0][0] <= now:
             due, _, kind, id, nth = heapq.heappop(self.timers)
             if kind == ALARM:
-                self.step(face.Alarm(id), now, due)
+                self.step(interface.TimerFired(id), now, due)
                 continue
             held = self.held.get(id)
             if held is None:
@@ -233,12 +235,12 @@
             if kind == EXPIRE and held.phase is Phase.OUT and held.nth == nth:
                 # What never left us never ran: an unsafe set-up may then be tried elsewhere.
                 sent = self.port.abandon(id, nth, held.server)
-                self.ended(id, nth, How.TIMEOUT if sent else How.UNREACHED, now - held.sent_at)
+                self.ended(id, nth, Outcome.TIMEOUT if sent else Outcome.UNREACHED, now - held.sent_at)
             elif kind == OVERDUE and not held.answered:
                 self.overdue += 1
                 self.port.log(f"viewing {id}: no answer when its patience ended")
-                self.tell(id, held, Answer(Fate.ABORTED, None, 0, 0, held.how, True))
-                self.step(face.Left(id), now)
+                self.tell(id, held, Answer(AnswerKind.ABORTED, None, 0, 0, held.how, True))
+                self.step(interface.ClientLeft(id), now)
                 self.forget(id)
         self.set_alarm()
 
@@ -285,10 +287,10 @@
                 self.port.set_rung(act.id, held.nth, held.server, act.rung)
 
     def block(self, act):
-        self.give(act.id, Fate.BLOCKED, act.hold_off)
+        self.give(act.id, AnswerKind.BLOCKED, act.hold_off)
 
     def abort(self, act):
-        self.give(act.id, Fate.ABORTED, 0)
+        self.give(act.id, AnswerKind.ABORTED, 0)
 
     def give(self, id, fate, hold_off):
         held = self.held.get(id)
@@ -302,7 +304,7 @@
         held = self.held.get(act.id)
         if held and held.phase is Phase.OUT and held.nth == act.nth:
             self.port.abandon(act.id, act.nth, held.server)
-            self.ended(act.id, act.nth, How.CANCELLED, self.now - held.sent_at)
+            self.ended(act.id, act.nth, Outcome.CANCELLED, self.now - held.sent_at)
 
     def move(self, act):
         held = self.held.get(act.id)
--- a/flaxscale/site/settings.py
+++ b/flaxscale/site/settings.py
@@ -3,9 +3,14 @@
 import math
 import struct
 
-from .. import interface as face
+from .. import interface
 
-NOTES = {1: face.NoteKind.DELIVERED, 2: face.NoteKind.RUNG, 3: face.NoteKind.LINK, 4: face.NoteKind.UPLINK}
+NOTES = {
+    1: interface.NoteKind.DELIVERED,
+    2: interface.NoteKind.RUNG,
+    3: interface.NoteKind.LINK,
+    4: interface.NoteKind.UPLINK,
+}
 NOTE_NAMES = {"share": NOTES[1], "step": NOTES[2], "asked": NOTES[3], "rack": NOTES[4]}  # the same on sockets
 LOADS = {"x0": "link", "x1": "uplink", "busy_reqs": "streams"}
 PEER_WORD = struct.Struct("<If")  # a server and kB a second
@@ -25,7 +30,7 @@
     stream, rules, caps, prices = top["specifics"], top["obligations"], top["caps"], top["penalties"]
     goal = top["objectiveMix"]
     packages = tuple(
-        face.Package(
+        interface.Package(
             join_target=span(row["goalTimeMs"]),
             value=row["worth"],
             effect=row["effect"],
@@ -40,20 +45,20 @@
         for i, row in enumerate(top["classes"])
     )
     rationed = "resendSpanMs" in rules
-    return face.SiteTerms(
+    return interface.SiteTerms(
         me=top["me"],
         peers=top["peersTotal"],
         zone=top["myZone"],
         seed=seed,
         packages=packages,
-        ladder=face.Ladder(
+        ladder=interface.Ladder(
             tuple(stream["levelKb"]),
             tuple(stream["levelWorth"]),
             tenths(stream["switchCostS"] * 1000),
             stream["stall"],
             stream["join"],
         ),
-        fleet=face.FleetTerms(
+        fleet=interface.FleetTerms(
             stream["cells"],
             stream["shelves"],
             tuple(stream["kindSlots"]),
@@ -68,7 +73,7 @@
             top["loadInfo"]["how"] == "on_probe",
             top["weightSource"] != "off",
         ),
-        rules=face.RuleTerms(
+        rules=interface.RuleTerms(
             span(rules["drainGraceMs"]),
             tenths(rules["warmWithinMs"]),
             rules["startCapacity"],
@@ -79,7 +84,7 @@
             rules.get("furtherRatio", 0) if rationed else None,
             tenths(rules["resendSpanMs"]) if rationed else None,
         ),
-        allowed=face.Allowed(
+        allowed=interface.Allowed(
             caps["tryLimit"],
             caps["cancelling"],
             caps["retryAfter"],
@@ -88,7 +93,7 @@
             caps["mayProbe"],
             tenths(caps["dialTimeoutMs"]),
         ),
-        prices=face.Prices(
+        prices=interface.Prices(
             prices["crossZone"],
             prices["moves"],
             prices["lateFail"],
@@ -96,5 +101,5 @@
             prices["probe"],
             prices.get("handshake", 0),
         ),
-        goal=face.Goal(goal["whole"], goal["worstWindow"], goal["worstClass"]),
+        goal=interface.Goal(goal["whole"], goal["worstWindow"], goal["worstClass"]),
     )
--- a/flaxscale/site/terms.py
+++ b/flaxscale/site/terms.py
@@ -2,7 +2,7 @@
 
 import math
 
-from .. import interface as face
+from .. import interface
 from .load import evaluate, refuse, shape
 from .shapes import Site, faults
 
@@ -54,7 +54,7 @@
         self.load_names = tuple(self.figures.values())  # in a probe's answer, in the order of the terms
         self.notes = {
             self.figures[name]: kind
-            for name, kind in (("link", face.NoteKind.LINK), ("uplink", face.NoteKind.UPLINK))
+            for name, kind in (("link", interface.NoteKind.LINK), ("uplink", interface.NoteKind.UPLINK))
             if name in self.figures and fleet.reports == "answers"
         }  # that a set-up's answer brings
         self.terms = self.make()
@@ -63,13 +63,13 @@
         site, rungs = self.site, len(self.site.ladder.kb)
         rules, fleet, allowed = site.rules, site.fleet, site.allowed
         further = rules.further
-        return face.SiteTerms(
+        return interface.SiteTerms(
             me=self.me,
             peers=site.managers,
             zone=self.zone,
             seed=self.seed,
             packages=tuple(
-                face.Package(
+                interface.Package(
                     span(p.join_target_ms),
                     p.value,
                     p.effect,
@@ -83,14 +83,14 @@
                 )
                 for p in self.rows.values()
             ),
-            ladder=face.Ladder(
+            ladder=interface.Ladder(
                 tuple(site.ladder.kb),
                 tuple(site.ladder.worth),
                 round(site.ladder.switch_cost_ms * 10),
                 site.ladder.stall,
                 site.ladder.join,
             ),
-            fleet=face.FleetTerms(
+            fleet=interface.FleetTerms(
                 fleet.cells,
                 fleet.racks,
                 tuple(self.places.values()),
@@ -103,7 +103,7 @@
                 fleet.reports == "probe",
                 fleet.weights == "sizes",
             ),
-            rules=face.RuleTerms(
+            rules=interface.RuleTerms(
                 span(rules.drain_grace_ms),
                 round(rules.warm_within_ms * 10),
                 rules.start_capacity,
@@ -114,7 +114,7 @@
                 further and further.share,
                 further and round(further.span_ms * 10),
             ),
-            allowed=face.Allowed(
+            allowed=interface.Allowed(
                 allowed.tune_ins,
                 allowed.call_off,
                 allowed.hold_off_most_ms > 0,
@@ -123,10 +123,10 @@
                 allowed.probes,
                 span(allowed.dial_timeout_ms),
             ),
-            prices=face.Prices(
+            prices=interface.Prices(
                 site.prices.cross_zone, site.prices.move, site.prices.late, site.prices.peer, site.prices.probe
             ),
-            goal=face.Goal(site.goal.whole, site.goal.worst_window, site.goal.worst_package),
+            goal=interface.Goal(site.goal.whole, site.goal.worst_window, site.goal.worst_package),
         )
 
     def patience(self, package, wait):
--- a/flaxscale/wirehost.py
+++ b/flaxscale/wirehost.py
@@ -6,23 +6,22 @@
 import json
 import sys
 
-from . import interface as face
-from . import wire
+from . import interface, wire
 from .decide import Manager
 from .site.settings import NOTES, PEER_WORD, site_terms, span, tenths
 
 HOWS = {
-    0: face.How.OK,
-    13: face.How.ERROR,
-    8: face.How.FULL,
-    4: face.How.TIMEOUT,
-    14: face.How.UNREACHED,
-    10: face.How.RESET,
-    1: face.How.CANCELLED,
-    9: face.How.MOOT,
+    0: interface.Outcome.OK,
+    13: interface.Outcome.ERROR,
+    8: interface.Outcome.FULL,
+    4: interface.Outcome.TIMEOUT,
+    14: interface.Outcome.UNREACHED,
+    10: interface.Outcome.RESET,
+    1: interface.Outcome.CANCELLED,
+    9: interface.Outcome.MOOT,
 }
-STATES = {0: face.State.GONE, 1: face.State.READY, 2: face.State.DRAINING}
-LISTS = {0: None, 1: face.ListKind.FULL, 2: face.ListKind.DELTA, 4: face.ListKind.CACHED}
+STATES = {0: interface.ServerStatus.GONE, 1: interface.ServerStatus.READY, 2: interface.ServerStatus.DRAINING}
+LISTS = {0: None, 1: interface.ListKind.FULL, 2: interface.ListKind.DELTA, 4: interface.ListKind.CACHED}
 ALL_PEERS = 0xFFFFFFFF
 MOVED, AGAIN, HINTED = 8, 16, 1
 
@@ -34,7 +33,7 @@
 
 
 def listed(row, where):
-    return face.Listed(
+    return interface.ServerEntry(
         row["server"],
         row["type"],
         row["slotNo"],
@@ -46,7 +45,7 @@
 
 
 def asked(row):
-    return face.Asked(
+    return interface.SessionRequest(
         row["id"],
         row["priority"],
         row["programme"],
@@ -66,14 +65,14 @@
     if name == "knock":
         return asked(row)
     if name == "preexisting":
-        return face.HandedOver(asked(row), row["server"])
+        return interface.SessionHandedOver(asked(row), row["server"])
     if name == "headers":
-        return face.Begun(row["id"], row["copy"], row["server"], tenths(row["elapsedMs"]))
+        return interface.AttemptSucceeded(row["id"], row["copy"], row["server"], tenths(row["elapsedMs"]))
     if name == "progress":
         kind = NOTES.get(row["sort"])  # a kind of note that we don't know yet tells us nothing
-        return kind and face.Note(row["id"], row["copy"], row["server"], kind, row["amount"])
+        return kind and interface.PlaybackNote(row["id"], row["copy"], row["server"], kind, row["amount"])
     if name == "completed":
-        return face.Ended(
+        return interface.AttemptEnded(
             row["id"],
             row["copy"],
             row["server"],
@@ -83,44 +82,44 @@
             row["usage"],
         )
     if name == "expired":
-        return face.Left(row["id"])
+        return interface.ClientLeft(row["id"])
     if name == "timer":
-        return face.Alarm(row["tag"])
+        return interface.TimerFired(row["tag"])
     if name == "health_result":
-        return face.Probed(
+        return interface.ProbeEnded(
             row["server"], known(HOWS, row["stateCode"], "outcome", where), tenths(row["elapsedMs"]), row["usage"]
         )
     if name == "neighbour_says":
         if len(row["msg"]) != PEER_WORD.size:  # a word of another version tells us nothing
             return None
-        return face.PeerSays(row["from"], *PEER_WORD.unpack(row["msg"]))
+        return interface.PeerLoadChange(row["from"], *PEER_WORD.unpack(row["msg"]))
     kind = known(LISTS, row["scope"], "list scope", where)
     if kind is None:  # a call for the list failed, and the old one stands; none is made where changes are pushed
         return None
     if row["setId"] not in lists:
         raise wire.WireError(f"registry at byte {where} names list {row['setId']}, which never came")
-    return face.Listing(kind, lists[row["setId"]])
+    return interface.ServerListUpdate(kind, lists[row["setId"]])
 
 
 def wire_action(me, act):
     """One of our actions as the wire names it."""
-    if isinstance(act, face.TuneIn):
+    if isinstance(act, interface.TuneIn):
         return "attempt", (me, act.id, act.server, act.expire_at / 10)
-    if isinstance(act, face.SetRung):
+    if isinstance(act, interface.SetRung):
         return "set_level", (me, act.id, act.rung)
-    if isinstance(act, face.Block):
+    if isinstance(act, interface.Block):
         return "turn_away", (me, act.id, act.hold_off / 10)
-    if isinstance(act, face.Abort):
+    if isinstance(act, interface.Abort):
         return "lose", (me, act.id)
-    if isinstance(act, face.CallOff):
+    if isinstance(act, interface.CallOff):
         return "stop_attempt", (me, act.id, act.nth)
-    if isinstance(act, face.Move):
+    if isinstance(act, interface.Move):
         return "redirect", (me, act.id)
-    if isinstance(act, face.Remind):
+    if isinstance(act, interface.Remind):
         return "remind", (me, act.token, act.after / 10)
-    if isinstance(act, face.Probe):
+    if isinstance(act, interface.Probe):
         return "inspect", (me, act.server)
-    if isinstance(act, face.TellPeers):
+    if isinstance(act, interface.TellPeers):
         return "memo_to", (me, ALL_PEERS, PEER_WORD.pack(act.server, act.kb))
     return "log", (me, act.text.encode())
 
--- a/tests/drive.py
+++ b/tests/drive.py
@@ -5,7 +5,7 @@
 import pathlib
 import unittest
 
-from flaxscale import interface as face
+from flaxscale import interface
 from flaxscale.decide import Manager
 
 S = 10_000  # a second
@@ -25,7 +25,7 @@
         seats=0,
         live=False,
     )
-    return face.Package(**{**row, **changes})
+    return interface.Package(**{**row, **changes})
 
 
 def site(
@@ -45,14 +45,14 @@
     weighed=True,
     cross=0.0,
 ):
-    return face.SiteTerms(
+    return interface.SiteTerms(
         me=me,
         peers=peers,
         zone=0,
         seed=seed,
         packages=tuple(packages),
-        ladder=face.Ladder((100.0, 200.0, 400.0), (0.3, 0.6, 1.0), 5_000, 6.0, 0.25),
-        fleet=face.FleetTerms(
+        ladder=interface.Ladder((100.0, 200.0, 400.0), (0.3, 0.6, 1.0), 5_000, 6.0, 0.25),
+        fleet=interface.FleetTerms(
             3,
             racks,
             slots,
@@ -65,10 +65,10 @@
             probes,
             weighed,
         ),
-        rules=face.RuleTerms(1 * S, 10 * S, 0.4, 2.5, 1 * S, 10 * S, *further),
-        allowed=face.Allowed(tune_ins, True, True, 5_000, tells, probes, 2_500),
-        prices=face.Prices(cross, 0.1, 0.05, word_price, 0.01 if probes else 0.0),
-        goal=face.Goal(0.6, 0.2, worst_package),
+        rules=interface.RuleTerms(1 * S, 10 * S, 0.4, 2.5, 1 * S, 10 * S, *further),
+        allowed=interface.Allowed(tune_ins, True, True, 5_000, tells, probes, 2_500),
+        prices=interface.Prices(cross, 0.1, 0.05, word_price, 0.01 if probes else 0.0),
+        goal=interface.Goal(0.6, 0.2, worst_package),
     )
 
 
@@ -84,11 +84,13 @@
         if warm:  # old enough to trust its list
             self.at(20 * S)
 
-    def list(self, *servers, kind=face.ListKind.CACHED, state=face.State.READY, started_at=0):
-        return face.Listing(kind, tuple(face.Listed(n, 0, (n - 1) % 3, n % 2, 1.0, started_at, state) for n in servers))
+    def list(self, *servers, kind=interface.ListKind.CACHED, state=interface.ServerStatus.READY, started_at=0):
+        return interface.ServerListUpdate(
+            kind, tuple(interface.ServerEntry(n, 0, (n - 1) % 3, n % 2, 1.0, started_at, state) for n in servers)
+        )
 
     def ask(self, id, package=0, title=9, left=30_000, top=2, cells=3, first=0, hint=0):
-        return face.Asked(id, package, title, id, left, top, first, cells, hint, False, False)
+        return interface.SessionRequest(id, package, title, id, left, top, first, cells, hint, False, False)
 
     def at(self, later, *events, say="", stands=False):
         """Moves the clock on (the alarms between ring first, or all at the end) and hands the events over."""
@@ -99,7 +101,7 @@
             due = min(self.alarms)
             self.alarms.remove(due)
             self.now = max(self.now, due[0])
-            self.tell(face.Alarm(due[1]))
+            self.tell(interface.TimerFired(due[1]))
         self.now = until
         if say:
             self.lines.append(f"-- {say}")
@@ -108,7 +110,7 @@
 
     def tell(self, event):
         for act in self.manager.handle(self.now, event):
-            if isinstance(act, face.Remind):
+            if isinstance(act, interface.Remind):
                 self.alarms.append((self.now + act.after, act.token))
                 continue
             if self.quiet:
@@ -120,19 +122,22 @@
             self.lines.append(f"{(self.now - 100 * S) / S:7.2f} {name} {told}")
 
     def begun(self, id, server, nth=0):
-        return face.Begun(id, nth, server, 1_000)
+        return interface.AttemptSucceeded(id, nth, server, 1_000)
 
     def ended(self, id, server, how, nth=0, over=False, load=()):
-        return face.Ended(id, nth, server, how, 1_000, over, load)
+        return interface.AttemptEnded(id, nth, server, how, 1_000, over, load)
 
     def looked(self, server, link, uplink=0.1, streams=5.0):
-        return face.Probed(server, face.How.OK, 30, (streams, link, uplink))
+        return interface.ProbeEnded(server, interface.Outcome.OK, 30, (streams, link, uplink))
 
     def link(self, id, server, amount):
-        return face.Note(id, 0, server, face.NoteKind.LINK, amount)
+        return interface.PlaybackNote(id, 0, server, interface.NoteKind.LINK, amount)
 
     def handed(self, id, server, rung=0, **ask):
-        return (face.HandedOver(self.ask(id, **ask), server), face.Note(id, 0, server, face.NoteKind.RUNG, float(rung)))
+        return (
+            interface.SessionHandedOver(self.ask(id, **ask), server),
+            interface.PlaybackNote(id, 0, server, interface.NoteKind.RUNG, float(rung)),
+        )
 
     def plays(self, *ids, server=1, rung=2):
         for id in ids:
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -1,7 +1,7 @@
 """Traces of decisions: the ordinary path, each rule, each kind of symptom. Read them in traces/."""
 
-from flaxscale import interface as face
-from flaxscale.interface import How, Left, ListKind, Note, NoteKind, PeerSays, State
+from flaxscale import interface
+from flaxscale.interface import ClientLeft, ListKind, NoteKind, Outcome, PeerLoadChange, PlaybackNote, ServerStatus
 from tests.drive import Drive, S, pack, site
 
 
@@ -45,7 +45,7 @@
         self.start(pack(), uplink_kb=1500.0)
         for id, server in ((1, 1), (2, 1), (3, 2), (4, 3)):
             self.at(0, *self.handed(id, server))
-        self.at(2 * S, self.link(1, 1, 0.2), Note(1, 0, 1, NoteKind.UPLINK, 0.27))
+        self.at(2 * S, self.link(1, 1, 0.2), PlaybackNote(1, 0, 1, NoteKind.UPLINK, 0.27))
         self.compare()
 
     def test_a_busy_newcomer_does_not_take_its_own_asking_for_everybodys(self):
@@ -86,7 +86,7 @@
         self.at(2_000)
         for nth, wait in enumerate((7_500, 7_500, 6_500, 6_500)):
             server = int(self.lines[-1].split("server=")[1].split()[0])
-            self.at(wait, self.ended(1, server, How.TIMEOUT, nth))
+            self.at(wait, self.ended(1, server, Outcome.TIMEOUT, nth))
             if "Block" in self.lines[-1]:
                 break
         self.compare()
@@ -95,23 +95,23 @@
         self.start(pack(effect="unsafe"))
         self.at(0, self.ask(1), self.ask(2))
         self.at(2_000)
-        self.at(500, self.ended(1, 1, How.ERROR), say="may have run")
-        self.at(0, self.ended(2, 2, How.FULL), say="never ran")
+        self.at(500, self.ended(1, 1, Outcome.ERROR), say="may have run")
+        self.at(0, self.ended(2, 2, Outcome.FULL), say="never ran")
         self.compare()
 
     def test_keyed_is_repeated_in_its_group_and_window_only(self):
         self.start(pack(effect="keyed", group="zone", repeat_window=S))
         self.at(0, self.ask(1), self.ask(2))
-        self.at(0, self.list(2, 3, kind=ListKind.DELTA, state=State.GONE), say="only 1 takes both")
+        self.at(0, self.list(2, 3, kind=ListKind.DELTA, state=ServerStatus.GONE), say="only 1 takes both")
         self.at(2_000)
         self.at(0, self.list(2, 3, kind=ListKind.DELTA))
-        self.at(500, self.ended(1, 1, How.ERROR), say="servers 1 and 3 are in one zone")
-        self.at(S, self.ended(2, 1, How.ERROR), say="past the window: aborted")
+        self.at(500, self.ended(1, 1, Outcome.ERROR), say="servers 1 and 3 are in one zone")
+        self.at(S, self.ended(2, 1, Outcome.ERROR), say="past the window: aborted")
         self.compare()
 
     def test_nothing_new_to_drained_gone_or_unlisted(self):
         self.start(pack())
-        self.at(0, self.list(1, kind=ListKind.DELTA, state=State.DRAINING))
+        self.at(0, self.list(1, kind=ListKind.DELTA, state=ServerStatus.DRAINING))
         self.at(0, self.ask(1), self.ask(2))
         self.at(S, self.list(3, kind=ListKind.FULL), say="a full list without 1 and 2")
         self.at(0, self.ask(3), self.ask(4))
@@ -124,10 +124,10 @@
         self.start(pack(), servers=2, peers=2, uplink_kb=20_000.0, slots=(30,))
         for n in range(1, 25):
             self.at(0, *self.handed(n, n), self.link(n, n, 0.5), self.list(n + 2, kind=ListKind.DELTA))
-            self.at(S, self.list(n, kind=ListKind.DELTA, state=State.GONE))
-            self.at(S, self.ended(n, n, How.RESET, over=True))
+            self.at(S, self.list(n, kind=ListKind.DELTA, state=ServerStatus.GONE))
+            self.at(S, self.ended(n, n, Outcome.RESET, over=True))
         # Gone under a cell that nobody had: no fault, and forgotten.
-        gone = self.list(26, kind=ListKind.DELTA, state=State.GONE)
+        gone = self.list(26, kind=ListKind.DELTA, state=ServerStatus.GONE)
         self.at(0, gone._replace(entries=(gone.entries[0]._replace(cell=77),)), self.list(26, kind=ListKind.DELTA))
         rack = self.manager.racks[0]
         self.lines.append(
@@ -145,7 +145,7 @@
         self.at(500)
         for nth in range(2):
             server = self.manager.viewings[20].server.row.server
-            self.at(10, self.ended(20, server, How.ERROR, nth=nth))
+            self.at(10, self.ended(20, server, Outcome.ERROR, nth=nth))
         for server, srv in sorted(self.manager.servers.items()):
             self.lines.append(
                 f"{server}: ills {srv.ills}, shut {srv.shut_until > self.now}, cold {self.manager.is_cold(srv)}"
@@ -154,7 +154,7 @@
         self.at(500)
         for nth in range(2):
             server = self.manager.viewings[21].server.row.server
-            self.at(10, self.ended(21, server, How.ERROR, nth=nth))
+            self.at(10, self.ended(21, server, Outcome.ERROR, nth=nth))
         self.lines.append(f"shut {sorted(n for n, srv in self.manager.servers.items() if srv.shut_until > self.now)}")
         self.compare()
 
@@ -181,7 +181,7 @@
         while self.manager.pace_turn(srv) % 3:
             self.at(S // 20)
         first = takes("cold for all that its list can't tell")
-        self.at(0, self.list(1, kind=face.ListKind.DELTA, started_at=self.now))
+        self.at(0, self.list(1, kind=interface.ListKind.DELTA, started_at=self.now))
         while (turn := self.manager.pace_turn(srv)) < first + 6:
             if turn != first and turn != getattr(self, "last", None):
                 self.last = takes("known to be cold")
@@ -191,7 +191,7 @@
     def test_failed_server_counts_as_cold_though_no_list_says_so(self):
         self.start(pack(), servers=1, peers=2, me=1)
         self.at(0, self.ask(1))
-        self.at(2_000, self.ended(1, 1, How.UNREACHED), say="down: the repeat waits for our turn")
+        self.at(2_000, self.ended(1, 1, Outcome.UNREACHED), say="down: the repeat waits for our turn")
         for id in range(2, 10):
             self.at(S // 2, self.ask(id))
         self.lines.append(f"cold: {self.manager.is_cold(self.manager.servers[1])}")
@@ -210,9 +210,9 @@
         self.start(pack(floor=1, seats=2))
         self.at(0, *self.handed(1, 1, rung=1), say="one seat handed over")
         self.at(0, self.ask(2, cells=1), self.ask(3))
-        self.at(3_000, Left(2), say="it leaves, its tune-in is out: the seat stays held")
+        self.at(3_000, ClientLeft(2), say="it leaves, its tune-in is out: the seat stays held")
         self.at(0, self.ask(4))
-        self.at(S, self.ended(2, 1, How.CANCELLED, over=True), say="completed: the seat is free")
+        self.at(S, self.ended(2, 1, Outcome.CANCELLED, over=True), say="completed: the seat is free")
         self.at(0, self.ask(5))
         self.at(S)
         self.compare()
@@ -221,7 +221,7 @@
         self.start(pack(), further=(1, 0.0, 10 * S))
         self.at(0, self.ask(1, cells=1), self.ask(2, cells=1))
         self.at(2_000)
-        self.at(500, self.ended(1, 1, How.ERROR), self.ended(2, 1, How.ERROR), say="one free, no share")
+        self.at(500, self.ended(1, 1, Outcome.ERROR), self.ended(2, 1, Outcome.ERROR), say="one free, no share")
         self.at(S)
         self.compare()
 
@@ -230,14 +230,14 @@
     def test_fast_errors_shut_a_server_then_one_trial(self):
         self.start(pack())
         self.at(0, self.ask(1, cells=1))
-        self.at(2_000, self.ended(1, 1, How.ERROR), say="the only holder: tried all the same")
+        self.at(2_000, self.ended(1, 1, Outcome.ERROR), say="the only holder: tried all the same")
         self.at(0, self.ask(2), self.ask(3), self.ask(4), say="with other holders it draws nothing")
         self.at(S)
         self.compare()
 
     def test_short_delivery_keeps_new_viewings_off(self):
         self.start(pack(), servers=2)
-        self.at(0, *self.handed(1, 1), Note(1, 0, 1, NoteKind.DELIVERED, 0.9))
+        self.at(0, *self.handed(1, 1), PlaybackNote(1, 0, 1, NoteKind.DELIVERED, 0.9))
         self.at(0, self.ask(2), self.ask(3))
         self.at(S)
         self.compare()
@@ -247,7 +247,7 @@
         for link, other in ((0.3, ()), (1.7, ()), (0.3, self.handed(5, 3))):
             self.start(pack(top=1), racks=2, peers=3, uplink_kb=6000.0)
             self.at(0, *self.handed(1, 1), *self.handed(2, 2), *other)
-            short = Note(1, 0, 1, NoteKind.DELIVERED, 0.55)
+            short = PlaybackNote(1, 0, 1, NoteKind.DELIVERED, 0.55)
             self.at(
                 4 * S,
                 short,
@@ -267,7 +267,7 @@
         self.start(pack(), servers=2, peers=2, tells=True)
         self.at(0, *self.handed(1, 1), *self.handed(2, 2))
         self.at(2 * S, self.link(1, 1, 0.3), self.link(2, 2, 0.4))
-        self.at(S // 2, PeerSays(1, 1, 400.0), PeerSays(1, 77, 400.0), say="a peer takes the room of 1")
+        self.at(S // 2, PeerLoadChange(1, 1, 400.0), PeerLoadChange(1, 77, 400.0), say="a peer takes the room of 1")
         self.at(0, self.ask(3))
         self.at(2 * S, self.link(1, 1, 0.3), say="the figure overrules it")
         self.at(0, self.ask(4))
@@ -287,7 +287,7 @@
         self.plays(1, 2, 3)
         self.at(S, self.link(1, 1, 0.6))
         for share in (0.95, 0.55, 0.6, 0.65, 0.7, 0.1):
-            self.at(S, Note(1, 0, 1, NoteKind.DELIVERED, share), say=f"delivers {share}")
+            self.at(S, PlaybackNote(1, 0, 1, NoteKind.DELIVERED, share), say=f"delivers {share}")
         self.compare()
 
     def test_a_full_server_learned_at_set_up_sheds_what_just_came(self):
@@ -316,7 +316,7 @@
     def test_a_figure_is_forgotten_where_nothing_is_held(self):
         self.start(pack(), servers=2, peers=2)
         self.at(0, *self.handed(1, 1), *self.handed(2, 2), self.link(1, 1, 1.2), self.link(2, 2, 0.4))
-        self.at(0, self.ended(1, 1, How.OK, over=True), say="full, and nothing more is heard of 1")
+        self.at(0, self.ended(1, 1, Outcome.OK, over=True), say="full, and nothing more is heard of 1")
         for id in (3, 4):
             self.at(0, self.ask(id, cells=1))
             self.at(8 * S, self.link(2, 2, 0.4))
@@ -341,7 +341,7 @@
     def test_lost_server_with_many_viewings_is_one_failure(self):
         self.start(pack())
         self.plays(1, 2, 3, rung=0)
-        self.at(S, *(self.ended(id, 1, How.RESET, over=True) for id in (1, 2, 3)))
+        self.at(S, *(self.ended(id, 1, Outcome.RESET, over=True) for id in (1, 2, 3)))
         self.lines.append(f"pause {(self.manager.servers[1].shut_until - self.now) / S} s")
         self.compare()
 
@@ -363,7 +363,7 @@
         self.at(0, self.ask(1, cells=2))
         self.at(100, self.looked(2, 0.9), say="1 is silent, 2 is all but full")
         self.at(S)
-        self.at(2_000, face.Probed(1, How.TIMEOUT, 2_500, ()), say="its probe timed out: it rests")
+        self.at(2_000, interface.ProbeEnded(1, Outcome.TIMEOUT, 2_500, ()), say="its probe timed out: it rests")
         self.at(0, self.ask(2, cells=2))
         self.at(S)
         self.compare()
@@ -395,7 +395,12 @@
 
     def test_without_weights_the_places_of_a_kind_tell_its_size(self):
         self.start(pack(), weighed=False, slots=(20, 30))
-        self.at(0, face.Listing(ListKind.DELTA, (face.Listed(4, 1, 0, 0, 1.0, 0, State.READY),)))
+        self.at(
+            0,
+            interface.ServerListUpdate(
+                ListKind.DELTA, (interface.ServerEntry(4, 1, 0, 0, 1.0, 0, ServerStatus.READY),)
+            ),
+        )
         self.lines.append(f"links: {[srv.link.kb for srv in self.manager.servers.values()]}")
         self.compare()
 
@@ -414,15 +419,15 @@
         old = self.manager.terms
         self.plays(1, rung=2)
         self.at(0, self.ask(2, cells=1))
-        self.at(2_000, self.ended(2, 1, How.ERROR), say="a further tune-in is spent; its pause runs")
+        self.at(2_000, self.ended(2, 1, Outcome.ERROR), say="a further tune-in is spent; its pause runs")
         new = site(
             (pack(top=1, effect="unsafe"), pack(value=2.0)), probes=True, weighed=False, further=(1, 0.0, 10 * S)
         )
-        self.at(0, face.Changed(new), say="new terms: rung 2 is gone, one further tune-in, probes")
+        self.at(0, interface.TermsChanged(new), say="new terms: rung 2 is gone, one further tune-in, probes")
         self.at(0, self.ask(3, package=1))
         self.at(100, self.looked(1, 0.2), self.looked(2, 0.3))
-        self.at(1_000, self.ended(3, 2, How.UNREACHED), say="the ration counts what was spent before")
-        self.at(0, face.Changed(old), say="the way back")
+        self.at(1_000, self.ended(3, 2, Outcome.UNREACHED), say="the ration counts what was spent before")
+        self.at(0, interface.TermsChanged(old), say="the way back")
         self.at(0, self.ask(4))
         self.at(S)
         self.lines.append(
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -5,7 +5,7 @@
 import socket
 import unittest.mock
 
-from flaxscale.interface import How
+from flaxscale.interface import Outcome
 from flaxscale.lab.players import headers_of, offer_of
 from flaxscale.serve import server
 from flaxscale.serve.clock import now
@@ -470,7 +470,7 @@
         self.boxes[1].die()
         front.boxes.set_up(1, "/whep/one", "k", [], b"", lambda how, *rest: hows.append(how) or self.log[0].put("came"))
         await self.log[0].seen("came")
-        self.assertEqual([How.UNREACHED], hows)
+        self.assertEqual([Outcome.UNREACHED], hows)
 
 
 def location(reply):
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from flaxscale import interface as face
+from flaxscale import interface
 from flaxscale.lab.shapes import Day, read_day
 from flaxscale.model.experiment import compare, interval, sweep
 from flaxscale.model.play import Play
@@ -43,16 +43,16 @@
             out, taken, answers = Counter(), Counter(), Counter()
 
             def tap(now, event, acts):
-                if isinstance(event, face.Asked):
+                if isinstance(event, interface.SessionRequest):
                     taken[event.id] += 1
                 for act in acts:
-                    if isinstance(act, face.TuneIn):
+                    if isinstance(act, interface.TuneIn):
                         out[act.id] += 1
-                    elif isinstance(act, (face.Block, face.Abort)):
+                    elif isinstance(act, (interface.Block, interface.Abort)):
                         answers[act.id] += 1
-                if isinstance(event, face.Begun):
+                if isinstance(event, interface.AttemptSucceeded):
                     answers[event.id] += 1
-                elif isinstance(event, face.Ended):
+                elif isinstance(event, interface.AttemptEnded):
                     out[event.id] -= 1
                 self.assertLessEqual(max(out.values(), default=0), 1)
 
--- a/tests/test_peaks.py
+++ b/tests/test_peaks.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from flaxscale import interface as face
-from flaxscale.interface import How, State
+from flaxscale import interface
+from flaxscale.interface import Outcome, ServerStatus
 from flaxscale.peaks.announce import Announcement, faults
 from flaxscale.peaks.keeper import GRACE, HALF, MOST, RoomKeeper, Surroundings
 from tests.drive import Drive, S, pack
@@ -22,7 +22,10 @@
 
     def servers(self, *gone):
         return {
-            n: (face.Listed(n, 0, n, 0, 1.0, 0, State.GONE if n in gone else State.READY), 10_000.0)
+            n: (
+                interface.ServerEntry(n, 0, n, 0, 1.0, 0, ServerStatus.GONE if n in gone else ServerStatus.READY),
+                10_000.0,
+            )
             for n in range(1, 5)
         }
 
@@ -101,25 +104,33 @@
 class Decided(Drive):
     def test_others_see_a_smaller_link_and_the_peaks_own_the_whole(self):
         self.start(pack(), servers=1)
-        self.at(0, face.Kept({1: 500.0}, {7: 1}, {}), say="half of the link is kept for title 7")
+        self.at(0, interface.PeakReservations({1: 500.0}, {7: 1}, {}), say="half of the link is kept for title 7")
         self.at(0, self.ask(1, title=9), self.ask(2, title=9))
         self.at(600, self.ask(3, title=7), say="the peak's own")
         self.at(600, self.begun(1, 1), self.begun(2, 1), self.begun(3, 1))
-        self.at(0, face.Kept({1: 500.0}, {7: 1}, {}), say="told again: what the peak took is no longer kept")
+        self.at(
+            0,
+            interface.PeakReservations({1: 500.0}, {7: 1}, {}),
+            say="told again: what the peak took is no longer kept",
+        )
         self.at(0, self.ask(4, title=9))
-        self.at(600, face.Kept({}, {}, {}), say="handed back")
+        self.at(600, interface.PeakReservations({}, {}, {}), say="handed back")
         self.at(4 * S, self.link(1, 1, 0.5))
         self.compare()
 
     def test_a_peak_needs_no_lower_mark_until_it_takes_more_than_its_room(self):
         self.start(pack(), servers=1)
         self.at(0, *self.handed(1, 1, rung=1), self.link(1, 1, 0.5))
-        self.at(0, face.Kept({1: 400.0}, {7: 2}, {}), say="half is used; 400 kB a second are kept for title 7")
+        self.at(
+            0,
+            interface.PeakReservations({1: 400.0}, {7: 2}, {}),
+            say="half is used; 400 kB a second are kept for title 7",
+        )
         self.at(0, self.ask(2, title=7), say="its own goes to the rung that room is kept for")
         self.at(600, self.begun(2, 1))
-        self.at(0, self.ended(2, 1, How.RESET, over=True), face.Kept({1: 100.0}, {7: 2}, {}))
+        self.at(0, self.ended(2, 1, Outcome.RESET, over=True), interface.PeakReservations({1: 100.0}, {7: 2}, {}))
         self.at(0, *self.handed(3, 1, rung=1, title=7), say="200 taken of 100 that are kept")
-        self.at(0, face.Kept({1: 100.0}, {7: 2}, {}))
+        self.at(0, interface.PeakReservations({1: 100.0}, {7: 2}, {}))
         self.at(0, self.ask(4, title=7), say="the rest is a crowd like any other")
         self.at(600)
         self.compare()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -5,8 +5,7 @@
 import struct
 import unittest
 
-from flaxscale import interface as face
-from flaxscale import wirehost
+from flaxscale import interface, wirehost
 from flaxscale.platform import config as configuration
 from flaxscale.platform.bulletin import Bulletin, Unreadable
 from flaxscale.site.load import SiteError
@@ -430,8 +429,8 @@
         conn = await self.viewer()
         call = self.ask(conn, left=300)
         await self.seen("end", who="viewer", call=call)
-        hows = {event.how for event in seen if isinstance(event, face.Ended)}
-        self.assertEqual({face.How.UNREACHED}, hows)
+        hows = {event.how for event in seen if isinstance(event, interface.AttemptEnded)}
+        self.assertEqual({interface.Outcome.UNREACHED}, hows)
 
     async def test_a_thousand_servers_come_and_go_and_the_tables_stay_flat(self):
         await self.server(1)
@@ -510,8 +509,8 @@
         }
         event = json.dumps({"no": 1, "roster": {"full": True, "servers": [row]}}).encode()
         news = bulletin.take(event)
-        self.assertEqual((face.Listed(7, 0, 1, 1, 2, 15000, face.State.READY),), news.entries)
-        self.assertEqual((face.ListKind.FULL, {7: ("10.0.0.1", 5060)}), (news.kind, news.addresses))
+        self.assertEqual((interface.ServerEntry(7, 0, 1, 1, 2, 15000, interface.ServerStatus.READY),), news.entries)
+        self.assertEqual((interface.ListKind.FULL, {7: ("10.0.0.1", 5060)}), (news.kind, news.addresses))
         self.assertIsNone(bulletin.take(event))
         self.assertIsNone(bulletin.take(b'{"no":1}'))
         for text in (b'{"no":2}', b'{"no":3,"roster":{"servers":[]}}', b"{", b'{"no":"x"}', b"5"):
@@ -579,7 +578,7 @@
         await self.seen("accept", who="viewer", call=call)
         server.say(line("info", call, note="asked", value="0.5"), line("end", call, why=16, load="x0:0.25"))
         await self.seen("end", who="viewer", call=call)
-        kinds = (face.Asked, face.Begun, face.Note, face.Ended)
+        kinds = (interface.SessionRequest, interface.AttemptSucceeded, interface.PlaybackNote, interface.AttemptEnded)
 
         def bare(events):  # how long things took is the clock's
             return [
@@ -629,7 +628,10 @@
         taken.sendto(struct.pack("<If", 1, 25.0), own)
         self.ask(conn)
         await self.seen("accept", who="viewer", times=2)
-        self.assertEqual([face.PeerSays(1, 1, 25.0)], [event for event in heard if isinstance(event, face.PeerSays)])
+        self.assertEqual(
+            [interface.PeerLoadChange(1, 1, 25.0)],
+            [event for event in heard if isinstance(event, interface.PeerLoadChange)],
+        )
         self.assertEqual(3, self.host.counts["foreign words"])
 
 
--- a/tests/test_platform_crossings.py
+++ b/tests/test_platform_crossings.py
@@ -11,7 +11,7 @@
 
 import uvloop
 
-from flaxscale import interface as face
+from flaxscale import interface
 from flaxscale.platform import clients, discovery, loopwatch
 from flaxscale.platform.starttimes import PLAUSIBLE, StartTimes
 from flaxscale.platform.stopping import stop_times
@@ -390,7 +390,9 @@
                 conn = await self.viewer()
                 call = self.ask(conn, left=300)
                 await self.seen("end", who="viewer", call=call)
-                self.assertEqual({face.How.MOOT}, {e.how for e in heard if isinstance(e, face.Ended)})
+                self.assertEqual(
+                    {interface.Outcome.MOOT}, {e.how for e in heard if isinstance(e, interface.AttemptEnded)}
+                )
                 server = self.host.runner.manager.servers[1]
                 self.assertEqual((0, 0, None), (server.ills, server.shut_until, server.doubt_at))
                 self.assertEqual(0, self.host.servers.endpoints[1].fails)
@@ -409,7 +411,9 @@
                 conn = await self.viewer()
                 call = self.ask(conn, left=300)
                 await self.seen("end", who="viewer", call=call)
-                self.assertEqual({face.How.UNREACHED}, {e.how for e in heard if isinstance(e, face.Ended)})
+                self.assertEqual(
+                    {interface.Outcome.UNREACHED}, {e.how for e in heard if isinstance(e, interface.AttemptEnded)}
+                )
                 self.assertEqual((True, 0), (endpoint.fails > 0, endpoint.refusals))
                 self.assertTrue(server.shut_until)
 
@@ -419,7 +423,7 @@
         self.host.runner.tap = lambda now, event, acts: heard.append(event)
         (connection,) = self.host.servers.endpoints[1].connections
         connection.connection_lost(OSError(errno.ENOBUFS, "made to fail"))
-        self.assertEqual([face.How.CANCELLED], [e.how for e in heard if isinstance(e, face.Ended)])
+        self.assertEqual([interface.Outcome.CANCELLED], [e.how for e in heard if isinstance(e, interface.AttemptEnded)])
         self.assertEqual(0, self.host.runner.manager.servers[1].ills)
 
     async def test_a_connection_whose_end_was_read_takes_no_set_up(self):
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flaxscale.interface import ListKind, State
+from flaxscale.interface import ListKind, ServerStatus
 from flaxscale.recovery.boxes import BookError, BoxBook
 from flaxscale.recovery.keys import Clash, Joined, Kept, KeyBook
 from flaxscale.recovery.owed import BATCH, Owed
@@ -42,7 +42,7 @@
         kind, entries = b.apply("full", told(3, row(1), row(2)), 1000)
         self.assertEqual((ListKind.FULL, [1, 2]), (kind, [e.server for e in entries]))
         kind, entries = b.apply("delta", told(4, row(1, "draining"), row(2, "gone"), since=3), 1000)
-        self.assertEqual([State.DRAINING, State.GONE], [e.state for e in entries])
+        self.assertEqual([ServerStatus.DRAINING, ServerStatus.GONE], [e.state for e in entries])
         self.assertEqual([1], list(b.places))
         self.assertIsNone(b.apply("delta", told(4, row(2), since=3), 1000))
         with self.assertRaisesRegex(BookError, "since 6 on version 4"):
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -2,9 +2,9 @@
 
 import unittest
 
-from flaxscale import interface as face
-from flaxscale.interface import How, ListKind, NoteKind, State
-from flaxscale.run import Fate, Phase, Runner
+from flaxscale import interface
+from flaxscale.interface import ListKind, NoteKind, Outcome, ServerStatus
+from flaxscale.run import AnswerKind, Phase, Runner
 from tests.drive import S, pack, site
 
 
@@ -54,7 +54,9 @@
             self.port,
             lambda now, event, acts: self.events.append(event),
         )
-        self.runner.listing(ListKind.FULL, [face.Listed(n, 0, (n - 1) % 3, 0, 1.0, 0, State.READY) for n in (1, 2)])
+        self.runner.listing(
+            ListKind.FULL, [interface.ServerEntry(n, 0, (n - 1) % 3, 0, 1.0, 0, ServerStatus.READY) for n in (1, 2)]
+        )
         self.until(100 * S + 20 * S)
 
     def until(self, time):
@@ -67,7 +69,7 @@
         self.until(self.port.clock + tenths)
 
     def ask(self, id=1, left=30_000):
-        self.runner.asked(face.Asked(id, 0, 9, id, left, 2, 0, 3, 0, False, False))
+        self.runner.asked(interface.SessionRequest(id, 0, 9, id, left, 2, 0, 3, 0, False, False))
         self.later(600)
 
     def did(self, name):
@@ -78,10 +80,10 @@
         self.ask()
         ((_, id, nth, server, rung, left),) = self.did("tune_in")
         self.assertTrue(self.runner.begun(1, 0, 200, [(NoteKind.LINK, 0.4)]))
-        self.assertEqual([("answer", 1, Fate.PLAYS, None)], self.did("answer"))
-        self.assertEqual([face.Begun, face.Note], [type(e) for e in self.events[-2:]])
-        self.assertTrue(self.runner.ended(1, 0, How.OK, 5 * S))
-        self.assertFalse(self.runner.ended(1, 0, How.OK, 5 * S))
+        self.assertEqual([("answer", 1, AnswerKind.PLAYS, None)], self.did("answer"))
+        self.assertEqual([interface.AttemptSucceeded, interface.PlaybackNote], [type(e) for e in self.events[-2:]])
+        self.assertTrue(self.runner.ended(1, 0, Outcome.OK, 5 * S))
+        self.assertFalse(self.runner.ended(1, 0, Outcome.OK, 5 * S))
         self.assertEqual(({}, {}), (self.runner.held, self.runner.manager.viewings))
 
     def test_silence_expires_and_the_next_box_gets_its_chance(self):
@@ -91,10 +93,13 @@
         self.assertEqual([0, 1], [row[2] for row in self.did("tune_in")][:2])
         self.assertEqual(("abandon", 1, 0), self.did("abandon")[0])
         self.assertFalse(self.runner.begun(1, 0, 9000))  # too late: its owner must end it there
-        self.assertEqual(How.TIMEOUT, next(e.how for e in self.events if isinstance(e, face.Ended)))
+        self.assertEqual(Outcome.TIMEOUT, next(e.how for e in self.events if isinstance(e, interface.AttemptEnded)))
 
     def test_what_never_left_us_never_ran_so_that_an_unsafe_one_may_be_blocked(self):
-        for sends, fate, how in ((True, Fate.ABORTED, How.TIMEOUT), (False, Fate.BLOCKED, How.UNREACHED)):
+        for sends, fate, how in (
+            (True, AnswerKind.ABORTED, Outcome.TIMEOUT),
+            (False, AnswerKind.BLOCKED, Outcome.UNREACHED),
+        ):
             self.start(pack=pack(effect="unsafe"))
             self.port.sends = sends
             self.ask()
@@ -104,7 +109,7 @@
     def test_a_client_that_leaves_at_each_step(self):
         for step in ("waits", "out", "plays"):
             self.start()
-            self.runner.asked(face.Asked(1, 0, 9, 1, 30_000, 2, 0, 3, 0, False, False))
+            self.runner.asked(interface.SessionRequest(1, 0, 9, 1, 30_000, 2, 0, 3, 0, False, False))
             if step != "waits":
                 self.later(600)
             if step == "plays":
@@ -127,33 +132,33 @@
         self.assertEqual([], self.did("abandon"))
         self.assertTrue(self.runner.begun(1, 0, 700))
         self.assertEqual([("end", 1, 0, self.did("tune_in")[0][3])], self.did("end"))
-        self.assertEqual([Fate.LEFT], [row[2] for row in self.did("answer")])
+        self.assertEqual([AnswerKind.LEFT], [row[2] for row in self.did("answer")])
         self.assertEqual(({}, {}), (self.runner.held, self.runner.manager.viewings))
 
     def test_a_module_that_asks_for_what_it_may_not_is_a_fault_and_changes_nothing(self):
         self.start()
         self.ask()
         before = list(self.port.did)
-        self.runner.tune_in(face.TuneIn(1, 2, self.port.clock + 5))  # one is out
-        self.runner.tune_in(face.TuneIn(77, 2, self.port.clock + 5))  # never asked for
+        self.runner.tune_in(interface.TuneIn(1, 2, self.port.clock + 5))  # one is out
+        self.runner.tune_in(interface.TuneIn(77, 2, self.port.clock + 5))  # never asked for
         self.runner.begun(1, 0, 10)
-        self.runner.block(face.Block(1, 0))  # it plays
+        self.runner.block(interface.Block(1, 0))  # it plays
         self.assertEqual(3, self.runner.faults)
         self.assertEqual(len(before) + 4, len(self.port.did))  # three lines of log and one answer
         with self.assertRaises(ValueError):
-            self.runner.asked(face.Asked(1, 0, 9, 1, 30_000, 2, 0, 3, 0, False, False))
+            self.runner.asked(interface.SessionRequest(1, 0, 9, 1, 30_000, 2, 0, 3, 0, False, False))
 
     def test_a_module_that_never_answers_is_answered_for(self):
         self.start()
         self.runner.manager.seat = lambda vw: None
         self.ask()
         self.later(30_000)
-        self.assertEqual([("answer", 1, Fate.ABORTED, None)], self.did("answer"))
+        self.assertEqual([("answer", 1, AnswerKind.ABORTED, None)], self.did("answer"))
         self.assertEqual((1, {}), (self.runner.overdue, self.runner.held))
 
     def test_what_is_handed_over_plays_and_takes_orders(self):
         self.start()
-        self.runner.handed_over(face.Asked(5, 0, 9, 5, 30_000, 2, 0, 3, 0, False, False), 1, 2)
+        self.runner.handed_over(interface.SessionRequest(5, 0, 9, 5, 30_000, 2, 0, 3, 0, False, False), 1, 2)
         self.assertIs(Phase.PLAYS, self.runner.held[5].phase)
         self.runner.note(5, NoteKind.LINK, 3.0)
         self.assertEqual([("set_rung", 5, 1, 1)], self.did("set_rung"))
@@ -176,10 +181,10 @@
 
     def test_a_probe_goes_out_and_its_answer_is_heard(self):
         self.start(probes=True)
-        self.runner.asked(face.Asked(1, 0, 9, 1, 30_000, 2, 0, 3, 0, False, False))
+        self.runner.asked(interface.SessionRequest(1, 0, 9, 1, 30_000, 2, 0, 3, 0, False, False))
         self.assertEqual({("probe", 1), ("probe", 2)}, {d for d in self.port.did if d[0] == "probe"})
-        self.runner.probed(1, How.TIMEOUT, 2_500)
-        self.runner.probed(2, How.OK, 30, (5.0, 0.2, 0.1))
+        self.runner.probed(1, Outcome.TIMEOUT, 2_500)
+        self.runner.probed(2, Outcome.OK, 30, (5.0, 0.2, 0.1))
         self.assertEqual(
             (0.2, None),
             tuple(srv.link.heard_at and srv.link.base for srv in map(self.runner.manager.servers.get, (2, 1))),
@@ -188,18 +193,18 @@
     def test_every_action_has_somewhere_to_go(self):
         """An action type without an entry would fail in service only when the module first wants it."""
         actions = {
-            face.TuneIn,
-            face.SetRung,
-            face.Block,
-            face.Abort,
-            face.CallOff,
-            face.Move,
-            face.Remind,
-            face.Probe,
-            face.TellPeers,
-            face.Log,
+            interface.TuneIn,
+            interface.SetRung,
+            interface.Block,
+            interface.Abort,
+            interface.CallOff,
+            interface.Move,
+            interface.Remind,
+            interface.Probe,
+            interface.TellPeers,
+            interface.Log,
         }
         self.start()
         self.assertEqual(actions, set(self.runner.does))
-        rows = [t for t in vars(face).values() if isinstance(t, type) and issubclass(t, tuple)]
-        self.assertEqual(actions, set(rows[rows.index(face.TuneIn) :]))
+        rows = [t for t in vars(interface).values() if isinstance(t, type) and issubclass(t, tuple)]
+        self.assertEqual(actions, set(rows[rows.index(interface.TuneIn) :]))
--- a/tests/test_seats.py
+++ b/tests/test_seats.py
@@ -4,7 +4,7 @@
 import unittest
 import unittest.mock
 
-from flaxscale import interface as face
+from flaxscale import interface
 from flaxscale.front.front import Front
 from flaxscale.members.seats import DRIFT, SeatBook
 from flaxscale.site.terms import Sense
@@ -33,21 +33,29 @@
 class Decided(Drive):
     def test_seats_that_claims_or_an_earlier_life_may_take_are_not_given(self):
         self.start(pack(seats=2), pack())
-        self.at(0, face.Reserved({}, frozenset({3})), say="3 may play an earlier life's: none of a title that it holds")
+        self.at(
+            0,
+            interface.SeatReservations({}, frozenset({3})),
+            say="3 may play an earlier life's: none of a title that it holds",
+        )
         self.at(0, self.ask(1), self.ask(2, title=8, cells=1), self.ask(3, package=1))
-        self.at(2_000, face.Reserved({(9, 0): 1}, frozenset()), say="3 has said: one is claimed, one is free")
+        self.at(
+            2_000, interface.SeatReservations({(9, 0): 1}, frozenset()), say="3 has said: one is claimed, one is free"
+        )
         self.at(0, self.ask(4), self.ask(5))
-        self.at(2_000, face.Reserved({}, frozenset()), say="the claim was refused")
+        self.at(2_000, interface.SeatReservations({}, frozenset()), say="the claim was refused")
         self.at(0, self.ask(6))
-        self.at(600, face.Reserved({}, frozenset({3})), say="with a catalogue its holders then are not known")
-        self.at(0, face.Catalogued(7, frozenset({1}), 0, 2, ()), self.ask(7, title=7))
+        self.at(
+            600, interface.SeatReservations({}, frozenset({3})), say="with a catalogue its holders then are not known"
+        )
+        self.at(0, interface.TitleUpdate(7, frozenset({1}), 0, 2, ()), self.ask(7, title=7))
         self.at(2_000)
         self.compare()
 
     def test_a_young_session_that_is_taken_up_does_not_prove_that_its_server_is_warm(self):
         for age, warm in ((5 * S, False), (10 * S, True)):
             self.start(pack(), warm=False, quiet=True)
-            self.at(0, face.HandedOver(self.ask(1), 2, age))
+            self.at(0, interface.SessionHandedOver(self.ask(1), 2, age))
             self.assertEqual(warm, self.manager.servers[2].seen_warm)
 
     def test_what_is_taken_up_is_not_counted_on_top_of_a_figure_that_has_it(self):
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -9,7 +9,7 @@
 import unittest
 from math import sqrt
 
-from flaxscale import interface as face
+from flaxscale import interface
 from flaxscale.decide import Manager
 from flaxscale.platform.starttimes import StartTimes
 from tests.drive import S, pack, site
@@ -62,37 +62,37 @@
         """A life of a manager; one that restarts has the list from its configuration."""
         self.managers[n] = Manager(self.terms[n])
         self.lives[n] += 1
-        self.hand(time, n, face.Listing(face.ListKind.FULL, ()))
+        self.hand(time, n, interface.ServerListUpdate(interface.ListKind.FULL, ()))
         if again:
             self.tell(time, n, followed=False)
 
     def tell(self, time, n, followed=True):
         now = time + self.offset(n)
         started = StartTimes().of(SERVER, STARTED / 10, now, followed)
-        row = face.Listed(SERVER, 0, 0, 0, 1e6, started, face.State.READY)
-        self.hand(time, n, face.Listing(face.ListKind.DELTA, (row,)))
+        row = interface.ServerEntry(SERVER, 0, 0, 0, 1e6, started, interface.ServerStatus.READY)
+        self.hand(time, n, interface.ServerListUpdate(interface.ListKind.DELTA, (row,)))
 
     def ask(self, time, n):
-        ask = face.Asked(next(self.number), 0, 9, 5, 20_000, 2, 0, 3, 0, False, False)
+        ask = interface.SessionRequest(next(self.number), 0, 9, 5, 20_000, 2, 0, 3, 0, False, False)
         self.hand(time, n, ask)
         mean = len(self.managers) / (DEMAND * self.allowed) * self.rules.fall_span
         self.at(time + 1 + int(self.chance.expovariate(1 / mean)), self.ask, n)
 
     def alarm(self, time, n, life, token):
         if life == self.lives[n]:
-            self.hand(time, n, face.Alarm(token))
+            self.hand(time, n, interface.TimerFired(token))
 
     def hand(self, time, n, event):
         for action in self.managers[n].handle(time + self.offset(n), event):
-            if isinstance(action, face.Remind):
+            if isinstance(action, interface.Remind):
                 self.at(time + action.after, self.alarm, n, self.lives[n], action.token)
-            elif isinstance(action, face.TuneIn):
+            elif isinstance(action, interface.TuneIn):
                 self.sent.append(time)
                 self.at(time + 200, self.begun, n, self.lives[n], action.id)
 
     def begun(self, time, n, life, id):
         if life == self.lives[n] and (session := self.managers[n].viewings.get(id)):
-            self.hand(time, n, face.Begun(id, session.nth, SERVER, 200))
+            self.hand(time, n, interface.AttemptSucceeded(id, session.nth, SERVER, 200))
 
 
 def busiest(times, span):
--- a/tests/test_titles.py
+++ b/tests/test_titles.py
@@ -1,12 +1,12 @@
 """The module with a live catalogue: holders, rungs and seats that change at each step of a set-up."""
 
-from flaxscale import interface as face
-from flaxscale.interface import How
+from flaxscale import interface
+from flaxscale.interface import Outcome
 from tests.drive import Drive, S, pack
 
 
 def told(*servers, low=0, top=2, seats=(), title=9):
-    return face.Catalogued(title, frozenset(servers), low, top, tuple(seats))
+    return interface.TitleUpdate(title, frozenset(servers), low, top, tuple(seats))
 
 
 class Titles(Drive):
@@ -19,11 +19,11 @@
         self.at(200, told(3))
         self.at(600)
         self.at(0, told(1), say="the tune-in at 3 stands; 3 says that it never ran: on to 1")
-        self.at(100, self.ended(2, 3, How.LACKING))
+        self.at(100, self.ended(2, 3, Outcome.LACKING))
         self.at(600)
         self.at(0, told(), say="nobody holds it: held one slot, then blocked")
         self.at(0, self.ask(3))
-        self.at(2_000, face.Catalogued(9, None, 0, 0, ()), say="forgotten: the request's own cells again")
+        self.at(2_000, interface.TitleUpdate(9, None, 0, 0, ()), say="forgotten: the request's own cells again")
         self.at(0, self.ask(4))
         self.at(2_000)
         self.compare()
@@ -32,7 +32,7 @@
         self.start(pack())
         self.at(0, told(2))
         self.at(0, self.ask(1))
-        self.at(600, self.ended(1, 2, How.LACKING), say="the sole holder lacks it: not asked again and again")
+        self.at(600, self.ended(1, 2, Outcome.LACKING), say="the sole holder lacks it: not asked again and again")
         self.at(2_000, self.ask(2), self.ask(3, title=8), say="another title it may have")
         self.at(2_000)
         self.at(2 * S, self.ask(4), say="one of us may have caught up")
@@ -50,7 +50,7 @@
 
     def test_a_catalogue_that_lists_servers_that_are_gone_or_were_never_listed(self):
         self.start(pack())
-        self.at(0, self.list(2, kind=face.ListKind.DELTA, state=face.State.GONE))
+        self.at(0, self.list(2, kind=interface.ListKind.DELTA, state=interface.ServerStatus.GONE))
         self.at(0, told(2, 3, 77))
         self.at(0, self.ask(1), say="3 alone is there")
         self.at(600, told(2, 77), say="none is")
@@ -78,9 +78,9 @@
         self.plays(1, 2, 3)
         self.at(0, told(1, 2, 3, seats=((0, 2),)), say="two seats, three in use")
         self.at(0, self.ask(4))
-        self.at(2_000, self.ended(1, 1, How.OK, over=True), say="one ends: still none free")
+        self.at(2_000, self.ended(1, 1, Outcome.OK, over=True), say="one ends: still none free")
         self.at(0, self.ask(5))
-        self.at(2_000, self.ended(2, 1, How.OK, over=True), say="another ends")
+        self.at(2_000, self.ended(2, 1, Outcome.OK, over=True), say="another ends")
         self.at(0, self.ask(6), self.ask(7))
         self.at(2_000, told(1, 2, 3, seats=((0, 9),)), say="nine seats")
         self.at(0, self.ask(8))
