--- a/flaxscale/decide.py
+++ b/flaxscale/decide.py
@@ -69,11 +69,13 @@
         )
         self.looks = (
             int(min(LOOKS, LOOK_COST / max(terms.prices.probe, 1e-9)))
-            if (terms.allowed.probes and terms.fleet.load_by_probe)
+            if (terms.allowed.may_probe and terms.fleet.load_by_probe)
             else 0
         )
         # A viewing changes our asking about three times, a word has eight bytes, the price is for 256.
-        self.tells = terms.allowed.peers and terms.prices.peer * 24 / 256 * (terms.peers - 1) <= WORDS_COST
+        self.tells = (
+            terms.allowed.may_message_peers and terms.prices.peer * 24 / 256 * (terms.manager_count - 1) <= WORDS_COST
+        )
         self.marks = rendition_steps(self.terms, {})
 
     def changed(self, event):
@@ -104,7 +106,7 @@
             {
                 p: 1
                 + goal.worst_package
-                / max(goal.whole, 0.1)
+                / max(goal.overall, 0.1)
                 * near[p]
                 / sum(near.values())
                 * total
@@ -185,7 +187,7 @@
         if srv is None:
             return
         srv.looking, srv.others = False, max(0, figures.get("streams", 0) - len(srv.viewings))
-        if event.how is not Outcome.OK:
+        if event.outcome is not Outcome.OK:
             srv.rests_until = self.now + REST
         if "uplink" in figures:
             srv.rack.heard(self.now, LOOK_LAG, figures["uplink"])
@@ -211,22 +213,22 @@
 
     def bind(self, vw):
         known, vw.pack = self.titles.get(vw.ask.title), self.terms.packages[vw.ask.package]
-        vw.bound(known.low if known else 0, known.top if known else len(self.terms.ladder.kb) - 1)
+        vw.bound(known.lowest_rung if known else 0, known.highest_rung if known else len(self.terms.ladder.kb) - 1)
 
     def hand_over(self, event):
-        vw = self.viewing(event.viewing)
+        vw = self.viewing(event.request)
         vw.nth, vw.rung, vw.playing, vw.answered = 0, vw.floor, True, True
         vw.stepped_at -= STEP_PAUSE
         next(vw.life)
         if srv := self.servers.get(event.server):
-            srv.seen_warm |= event.age >= self.rules.warm_within
+            srv.seen_warm |= event.age >= self.rules.warm_up_time
         self.occupy(vw, srv)
 
     def left(self, event):
         if vw := self.viewings.get(event.id):
             vw.answered = True
             self.forget(vw)
-            if vw.server and not vw.playing and self.allowed.call_off:
+            if vw.server and not vw.playing and self.allowed.may_cancel:
                 self.out.append(interface.CallOff(vw.id, vw.nth))
 
     def begun(self, event):
@@ -242,25 +244,25 @@
         srv, vw = self.servers.get(event.server), self.viewings.get(event.id)
         if vw is None or event.nth != vw.nth:
             return
-        if srv and event.how in (Outcome.ERROR, Outcome.TIMEOUT, Outcome.UNREACHED, Outcome.RESET):
-            if event.how is Outcome.ERROR and self.now - srv.well_at < SERVES:
+        if srv and event.outcome in (Outcome.ERROR, Outcome.TIMEOUT, Outcome.UNREACHED, Outcome.RESET):
+            if event.outcome is Outcome.ERROR and self.now - srv.well_at < SERVES:
                 vw.erred.setdefault(srv, (srv.ills, srv.shut_until, srv.doubt_at))
             self.ill(srv)
             # Two that serve others well answered it alike: the fault is its own, and no third is asked.
             for other, was in vw.erred.items() if len(vw.erred) > 1 else ():
                 other.ills, other.shut_until, other.doubt_at = was
-        elif srv and event.how is Outcome.FULL:
+        elif srv and event.outcome is Outcome.FULL:
             srv.rests_until = self.now + REST
-        elif event.how is Outcome.LACKING:
+        elif event.outcome is Outcome.LACKING:
             # It is ahead of us, or behind: others first, this one again when one of us may have caught up.
             self.lacking[event.server, vw.ask.title] = self.now + REST
-        if event.how not in (Outcome.FULL, Outcome.UNREACHED, Outcome.MOOT, Outcome.LACKING):
+        if event.outcome not in (Outcome.FULL, Outcome.UNREACHED, Outcome.MOOT, Outcome.LACKING):
             vw.ran_at, vw.ran_near = vw.sent_at, srv and srv.row
         self.vacate(vw)
-        if event.over or vw.answered:
+        if event.session_over or vw.answered:
             self.forget(vw)
         else:
-            self.resume(vw, event.how)
+            self.resume(vw, event.outcome)
 
     def catalogued(self, event):
         """A title changed in service: what waits goes by it at once, what plays keeps to the rungs left.
@@ -283,22 +285,22 @@
         What others take of it is reckoned like ours, over all servers: one has too few of ours to tell by. Up
         to its rung no mark need be lower, as those that it keeps links open for have come. Beyond is a crowd.
         """
-        self.kept_for, whole = (event.titles, event.packages), sum(event.rooms.values())
+        self.kept_for, whole = (event.titles, event.packages), sum(event.reserved_kb.values())
         took = (
             sum(
                 self.asking(vw for vw in srv.viewings.values() if self.kept_rung(vw) >= 0)
                 for server, srv in self.servers.items()
-                if server in event.rooms
+                if server in event.reserved_kb
             )
             if whole
             else 0
         )
-        left = max(0.0, 1 - took * self.terms.peers / whole) if whole else 0
-        self.eased = took * self.terms.peers <= EASED * whole
+        left = max(0.0, 1 - took * self.terms.manager_count / whole) if whole else 0
+        self.eased = took * self.terms.manager_count <= EASED * whole
         for rack in self.racks.values():
             rack.kept = 0.0
         for server, srv in self.servers.items():
-            srv.kept = event.rooms.get(server, 0.0) * left
+            srv.kept = event.reserved_kb.get(server, 0.0) * left
             srv.rack.kept += srv.kept
 
     def reserve(self, event):
@@ -359,7 +361,7 @@
 
     def out_until(self, vw):
         """How long a tune-in may be out: half the patience, or the longest standstill, is for the answer."""
-        return attempt_until(vw.asked_at, vw.ask.left, vw.deadline, self.standstills.lately(self.now))
+        return attempt_until(vw.asked_at, vw.ask.time_left, vw.deadline, self.standstills.lately(self.now))
 
     def wait(self, vw):
         vw.waiting = True
@@ -389,7 +391,7 @@
         if (
             late
             or len(vw.erred) > 1
-            or vw.nth + 1 >= self.allowed.tune_ins
+            or vw.nth + 1 >= self.allowed.max_attempts
             or (
                 vw.ran_at is not None
                 and vw.pack.effect != "safe"
@@ -403,7 +405,7 @@
         """The final answer, at once: a block wherever a repeat by the viewer is harmless."""
         pack, vw.answered = vw.pack, True
         if vw.ran_at is None or pack.effect == "safe" or (pack.effect == "keyed" and pack.group == "all"):
-            most = self.allowed.hold_off_most if self.allowed.hold_off else 0
+            most = self.allowed.max_hold_off if self.allowed.may_hold_off else 0
             # Spread, or the viewers blocked together come again together.
             self.out.append(interface.Block(vw.id, most // 2 + int(self.chance() * (most // 2))))
         else:
@@ -414,7 +416,7 @@
             self.retries.retry(self.now)
         vw.nth, vw.sent_at, expire = vw.nth + 1, self.now, self.out_until(vw)
         # Against servers that answer nothing: leave time for another, except where it could not be used.
-        if vw.pack.effect == "safe" and vw.nth + 1 < self.allowed.tune_ins:
+        if vw.pack.effect == "safe" and vw.nth + 1 < self.allowed.max_attempts:
             expire = min(expire, self.now + max(ATTEMPT_LEAST, vw.pack.join_target // 2))
         if self.is_cold(srv):
             srv.turn = self.pace_turn(srv)
@@ -561,7 +563,7 @@
         """The rung rule: the highest under its mark, else the lowest that fits under the brim."""
         # The rate, as a part of the link, on the larger use of the two: a link that reads emptier than its
         # rack is not taken at its word, or all managers rush to it.
-        dark = DARK * (1 - 1 / self.terms.peers) if srv.link.heard_at is None else 0
+        dark = DARK * (1 - 1 / self.terms.manager_count) if srv.link.heard_at is None else 0
         mine = self.kept_rung(vw) >= 0
         kept, both = (0, 0) if mine else (srv.kept / srv.link.kb, srv.rack.kept / srv.rack.kb)
         use, cap = srv.use() + dark + max(kept, both), min(srv.link.kb, srv.rack.kb)
@@ -596,7 +598,7 @@
         """What others ask of an unheard link. By its own asking alone a busy newcomer took all for full."""
         if self.usual_at != self.now:
             self.usual_at, own_part = self.now, self.asked_kb / self.all_links()
-            self.usual_use = self.others_load.usual(self.now, self.terms.peers, len(self.viewings), own_part)
+            self.usual_use = self.others_load.usual(self.now, self.terms.manager_count, len(self.viewings), own_part)
         return self.usual_use
 
     def all_links(self):
@@ -643,14 +645,14 @@
         srv.ills, srv.well_at = srv.ills // 2, self.now
         # A server that failed and came back may have restarted, whatever the list says.
         if srv.doubt_at is not None:
-            srv.doubt_at, srv.cold_until = None, max(srv.cold_until, self.now + self.rules.warm_within)
+            srv.doubt_at, srv.cold_until = None, max(srv.cold_until, self.now + self.rules.warm_up_time)
 
     def is_cold(self, srv):
         # The list of a manager that has just started may not know of a restart; what it sees there may.
         return (
             srv.doubt_at is not None
             or self.now < srv.cold_until
-            or (not srv.seen_warm and self.now < self.started_at + self.rules.warm_within)
+            or (not srv.seen_warm and self.now < self.started_at + self.rules.warm_up_time)
         )
 
     def pace_turn(self, srv):
@@ -661,7 +663,7 @@
         if not self.is_cold(srv):
             return True
         known_cold = srv.doubt_at is not None or self.now < srv.cold_until
-        return may_send(self.pace_turn(srv), srv.turn, known_cold, self.terms.me, self.terms.peers)
+        return may_send(self.pace_turn(srv), srv.turn, known_cold, self.terms.manager_number, self.terms.manager_count)
 
     # What is heard of servers
 
@@ -687,7 +689,7 @@
         if row.started_at > srv.row.started_at and srv.doubt_at is not None and row.started_at > srv.doubt_at:
             srv.doubt_at, srv.ills, srv.shut_until = None, 0, 0
         srv.row = row
-        srv.cold_until = max(srv.cold_until, row.started_at and row.started_at + self.rules.warm_within)
+        srv.cold_until = max(srv.cold_until, row.started_at and row.started_at + self.rules.warm_up_time)
         self.drop(srv)
 
     def drop(self, srv):
@@ -700,7 +702,7 @@
     def stand(self, srv):
         """Puts a server's link in its rack, at the size that the terms give it."""
         fleet, number, size = self.terms.fleet, srv.row.cell % self.terms.fleet.racks, srv.row.weight
-        if not fleet.weighed:  # the places of its kind tell its size
+        if not fleet.weights_known:  # the places of its kind tell its size
             size = fleet.slots[srv.row.kind] * len(fleet.slots) / sum(fleet.slots)
         srv.link.kb = max(1.0, size * fleet.kb_per_weight)
         if number not in self.racks:
@@ -835,7 +837,7 @@
                 vw: r
                 for vw, r in plan.items()
                 if (ladder.worth[r] - ladder.worth[vw.rung])
-                * (vw.asked_at + vw.ask.hint - self.now if vw.ask.hint else LIFE)
+                * (vw.asked_at + vw.ask.expected_length - self.now if vw.ask.expected_length else LIFE)
                 >= PAYBACK * ladder.switch_cost
             }
         )
--- a/flaxscale/decisions/retries.py
+++ b/flaxscale/decisions/retries.py
@@ -13,7 +13,7 @@
     """Counts sessions and retries; the rules that bound them may change in service, what was counted stays."""
 
     def __init__(self, rules: RuleTerms) -> None:
-        width = max(BUCKET_LEAST, -(-(rules.further_span or 0) // BUCKETS_A_SPAN))
+        width = max(BUCKET_LEAST, -(-(rules.retry_window or 0) // BUCKETS_A_SPAN))
         self.sessions, self.retries = BucketWindow(width, BUCKETS), BucketWindow(width, BUCKETS)
         self.longest_span = BUCKETS_A_SPAN * width  # of new rules: what is older was not counted
 
@@ -28,8 +28,8 @@
 
         The oldest bucket counts whole against us and not at all for us, so that the budget holds in any window.
         """
-        if rules.further_span is None:
+        if rules.retry_window is None:
             return True
-        start = now - rules.further_span
-        budget = rules.further_free + rules.further_share * sum(self.sessions.since(start + 1))
+        start = now - rules.retry_window
+        budget = rules.free_retries + rules.retry_share * sum(self.sessions.since(start + 1))
         return sum(self.retries.since(start - self.retries.width)) + 1 <= budget
--- a/flaxscale/decisions/slow_start.py
+++ b/flaxscale/decisions/slow_start.py
@@ -11,7 +11,7 @@
 
 def turn_at(now: int, rules: RuleTerms, places: int) -> int:
     """Number of the turn that this time is in, for a server with so many places."""
-    rate = PACE_SHARE * rules.tip_multiple * rules.start_capacity * places / rules.warm_within
+    rate = PACE_SHARE * rules.overload_multiple * rules.start_capacity * places / rules.warm_up_time
     return int(now * rate)
 
 
--- a/flaxscale/decisions/state.py
+++ b/flaxscale/decisions/state.py
@@ -38,7 +38,7 @@
 
     def __init__(self, ask: SessionRequest, now: int) -> None:
         self.ask, self.id, self.seat = ask, ask.id, (ask.title, ask.package)
-        self.asked_at, self.sent_at, self.deadline = now, now, now + ask.left
+        self.asked_at, self.sent_at, self.deadline = now, now, now + ask.time_left
         self.nth = -1
         self.server: ServerState | None = None  # number of the last attempt; where one is out or it plays
         self.playing = self.answered = self.waiting = False
@@ -58,7 +58,7 @@
     def bound(self, low: int, top: int) -> None:
         """The renditions that it may have: its class's and its title's, up to what it can use."""
         self.floor = max(self.pack.floor, low)
-        self.top = max(self.floor, min(self.ask.top, self.pack.top, top))
+        self.top = max(self.floor, min(self.ask.top_rung, self.pack.top, top))
 
     def in_bounds(self) -> int:
         return min(max(self.rung, self.floor), self.top)
--- a/flaxscale/front/duties.py
+++ b/flaxscale/front/duties.py
@@ -265,7 +265,7 @@
         front, account = self.front, self.front.audit.account
         demand, kb = Counter(), front.site.ladder.kb
         for vw in front.viewings.values():
-            held = front.runner.held.get(vw.id)
+            held = front.runner.sessions.get(vw.id)
             if vw.plays and held is not None and vw.offer is not None:
                 demand[vw.offer.title] += kb[0]
         behind = round(front.site.fleet.behind_s * 10_000)
--- a/flaxscale/front/front.py
+++ b/flaxscale/front/front.py
@@ -122,7 +122,7 @@
         self.runner = Runner(sense.terms, self, tap)
         self.boxes = Boxes(self, sense, self.name, self.boot, log)
         fleet = self.site.fleet
-        self.book = BoxBook(sense.kinds, sense.zones, fleet.cells, sense.terms.rules.warm_within)
+        self.book = BoxBook(sense.kinds, sense.zones, fleet.cells, sense.terms.rules.warm_up_time)
         self.follower = (
             ListFollower(list_address, self.name, self.book, state, self.listed, log) if list_address else None
         )
@@ -192,21 +192,21 @@
             raise
         self.sense, self.site, self.mark = sense, site, mark_of(site)
         self.boxes.rule(sense)
-        self.book.rule(sense.kinds, sense.zones, site.fleet.cells, sense.terms.rules.warm_within)
+        self.book.rule(sense.kinds, sense.zones, site.fleet.cells, sense.terms.rules.warm_up_time)
         if self.watch is None:
             self.view = FileView(site)
         else:
             self.view.packages = sense.packages
         self.keys.keep, self.gate.on = round(site.front.keep_answers_ms * 10), site.front.gate
         self.peaks.rule(site)
-        self.runner.changed(sense.terms)
+        self.runner.terms_changed(sense.terms)
         self.load_counts["loaded"] += 1
         self.audit.renew()
         self.lines.info("settings loaded", site=site.name, mark=self.mark, viewings=len(self.viewings))
 
     def refusals(self, site):
         names = list(self.sense.rows)
-        in_use = Counter(names[held.ask.package] for held in self.runner.held.values())
+        in_use = Counter(names[held.request.package] for held in self.runner.sessions.values())
         found = refusals(
             self.site,
             site,
@@ -252,8 +252,8 @@
         self.ones = {one: id for one, id in self.ones.items() if id in self.viewings}
         self.keys.clear(now())
         if self.watch:
-            held = {vw.ask.title for vw in self.runner.held.values()}
-            self.runner.catalogued(self.view.forget(now(), held))
+            held = {vw.request.title for vw in self.runner.sessions.values()}
+            self.runner.titles_changed(self.view.forget(now(), held))
         self.housekeeping = self.loop.call_later(5.0, self.keep_house)
 
     async def stop(self, grace=3.0):
@@ -287,7 +287,7 @@
                 await asyncio.sleep(0.01)
             self.lines.info("handed over", left=len(self.viewings))
         for id in list(self.viewings):
-            self.runner.left(id)
+            self.runner.client_left(id)
         while self.boxes.owed.count() and self.loop.time() < until:
             await asyncio.sleep(0.01)
         if self.follower:
@@ -467,7 +467,7 @@
         rungs = len(self.site.ladder.kb) - 1
         vw.cookie = cookie_out(vw.name, offer, viewer, rungs if offer.top is None else min(offer.top, rungs))
         if news := self.view.news(offer.title):
-            self.runner.catalogued([news])
+            self.runner.titles_changed([news])
         self.peaks.asked(offer.title, package)
         due = time + patience
         self.steps.at("taken")
@@ -476,7 +476,7 @@
             """age: of its first try at another manager, whose patience goes on; one that is over begins anew."""
             left = due - now()
             left = left - age if age < left else left
-            self.runner.asked(
+            self.runner.session_requested(
                 interface.SessionRequest(
                     vw.id,
                     number,
@@ -517,7 +517,7 @@
         self.lines.info("in place of its first try", viewing=vw.id, of=old.key, age=now() - old.taken_at)
         askers, old.askers = old.askers, []
         if not self.tries.left(old):
-            self.runner.left(old.id)
+            self.runner.client_left(old.id)
         for exchange in askers:
             exchange.respond(*Refusal(409, "the same viewer has asked anew").answer())
         return True
@@ -548,7 +548,7 @@
         if exchange in vw.askers:
             vw.askers.remove(exchange)
         if not vw.askers and not vw.plays and not self.tries.left(vw):
-            self.runner.left(vw.id)
+            self.runner.client_left(vw.id)
 
     def answer_early(self, vw, no):
         """Answers a viewing that the module was not asked for."""
@@ -603,7 +603,7 @@
     def delete(self, exchange, want):
         vw = self.session(exchange, want)
         self.lines.info("ended by its client", viewing=vw.id)
-        self.runner.left(vw.id)
+        self.runner.client_left(vw.id)
         exchange.respond(200, endpoint.CORS)
 
     def patch(self, exchange, want):
@@ -642,7 +642,7 @@
     def now(self):
         return now()
 
-    def wake(self, at):
+    def wake_at(self, at):
         if self.timer is not None:
             self.timer.cancel()
         self.timer = self.loop.call_later(max(0, at - now()) / 10_000, self.ring)
@@ -651,13 +651,13 @@
         self.timer = None
         self.runner.tick()
 
-    def tune_in(self, id, nth, server, rung, left):
+    def start_attempt(self, id, nth, server, rung, left):
         vw = self.viewings[id]
         vw.key, vw.box, vw.tries, vw.began = f"{self.name}.{self.boot}.{id:x}.{nth}", server, nth + 1, now()
         self.by_key[vw.key] = id
         self.audit.did("setup", vw.key, server)
         if nth == 0:
-            vw.slot_wait = max(0, self.runner.due - vw.taken_at)
+            vw.slot_wait = max(0, self.runner.step_due_at - vw.taken_at)
         offer, key, place = vw.offer, vw.key, self.boxes.places.get(server)
         if not self.tries.may_go(vw, place):
             self.never_sent(id, nth, key, Outcome.LACKING)
@@ -687,7 +687,7 @@
 
     def never_sent(self, id, nth, key, how):
         self.not_out(key)
-        self.loop.call_soon(self.runner.ended, id, nth, how, 0)
+        self.loop.call_soon(self.runner.attempt_ended, id, nth, how, 0)
 
     def came(self, vw, nth, server, place, key, how, took, answer, notes):
         """The outcome of a set-up."""
@@ -699,22 +699,22 @@
             self.lines.info("tune-in failed", viewing=vw.id, nth=nth, box=server, how=how.value, took=took)
             if vw.done:
                 self.dismiss(vw)
-            self.runner.ended(vw.id, nth, how, took)
+            self.runner.attempt_ended(vw.id, nth, how, took)
             return
         self.steps.at("begun")
         if key in self.early:  # over, or another's, before its own answer was read
             self.not_out(key)
             if vw.done:
                 self.dismiss(vw)
-            self.runner.ended(vw.id, nth, Outcome.RESET, took)
+            self.runner.attempt_ended(vw.id, nth, Outcome.RESET, took)
             return
         vw.came, vw.path, vw.place = answer, answer.headers["location"], place[:2]
         self.boxes.plays(server, key, vw.id, answer.headers.get("flaxscale-boot"))
-        if not self.runner.begun(vw.id, nth, took, notes):
+        if not self.runner.attempt_succeeded(vw.id, nth, took, notes):
             self.boxes.end(server, key)
             self.dismiss(vw)
 
-    def abandon(self, id, nth, server):
+    def abandon_attempt(self, id, nth, server):
         vw = self.viewings[id]
         call, vw.call = vw.call, None
         sent = call.cancel() if call is not None else False
@@ -726,7 +726,7 @@
         self.lines.info("tune-in given up", viewing=id, nth=nth, box=server, sent=sent)
         return sent
 
-    def end(self, id, nth, server):
+    def end_session(self, id, nth, server):
         vw = self.viewings[id]
         self.boxes.end(server, vw.key)
         self.dismiss(vw)
@@ -736,22 +736,22 @@
 
     def answer(self, id, answer):
         vw = self.viewings[id]
-        self.counts[answer.fate.value] += 1
-        self.audit.did("answer" if answer.fate is AnswerKind.PLAYS else "refusal", vw.name)
-        if answer.fate is AnswerKind.PLAYS:
+        self.counts[answer.kind.value] += 1
+        self.audit.did("answer" if answer.kind is AnswerKind.PLAYS else "refusal", vw.name)
+        if answer.kind is AnswerKind.PLAYS:
             vw.plays = True
             reply = self.played(vw)
             self.keys.answered(id, reply, now())
         else:
             self.keys.answered(id, None, now())
-            reply = self.turned_away(answer) if answer.fate is not AnswerKind.LEFT else None
+            reply = self.turned_away(answer) if answer.kind is not AnswerKind.LEFT else None
             vw.done = True
             if vw.call is None:  # else it is kept until its tune-in is called off or comes back
                 self.dismiss(vw)
         self.lines.info(
             "answered",
             viewing=id,
-            fate=answer.fate.value,
+            fate=answer.kind.value,
             box=answer.server,
             rung=answer.rung,
             tries=vw.tries,
@@ -760,7 +760,7 @@
             overdue=answer.overdue,
             trace=vw.offer.trace,
         )
-        if vw.offer is not None and answer.fate is not AnswerKind.LEFT:
+        if vw.offer is not None and answer.kind is not AnswerKind.LEFT:
             self.gate.answered(now() - vw.taken_at)
         askers, vw.askers = vw.askers, []
 
@@ -784,15 +784,15 @@
         return 201, [*rows, *endpoint.CORS], came.body
 
     def turned_away(self, answer):
-        if answer.fate is AnswerKind.BLOCKED:
+        if answer.kind is AnswerKind.BLOCKED:
             rows = [("Retry-After", str(max(1, fields.seconds_up(answer.hold_off))))] if answer.hold_off else []
             no = Refusal(
                 503, "nothing that holds this title has room", rows, fate="blocked", hold_off_ms=answer.hold_off / 10
             )
-        elif answer.overdue or answer.how in (Outcome.TIMEOUT, Outcome.CANCELLED, None):
+        elif answer.overdue or answer.outcome in (Outcome.TIMEOUT, Outcome.CANCELLED, None):
             no = Refusal(504, "no video server answered in time", fate="aborted")
         else:
-            no = Refusal(502, f"the video server failed: {answer.how.value}", fate="aborted")
+            no = Refusal(502, f"the video server failed: {answer.outcome.value}", fate="aborted")
         return no.answer()
 
     def dismiss(self, vw):
@@ -804,7 +804,7 @@
         self.not_out(vw.key)
 
     def probe(self, server):
-        self.boxes.probe(server, lambda how, took, figures: self.runner.probed(server, how, took, figures))
+        self.boxes.probe(server, lambda how, took, figures: self.runner.probe_ended(server, how, took, figures))
 
     def tell_peers(self, server, kb):
         if self.members.shell:
@@ -835,7 +835,7 @@
         if package is None:
             return None
         if news := self.view.news(cookie.title):
-            self.runner.catalogued([news])
+            self.runner.titles_changed([news])
         return row.title, self.sense.packages[package]
 
     def value_of(self, cookie):
@@ -874,10 +874,10 @@
         vw.name, vw.key, vw.box, vw.place, vw.path, vw.plays = cookie.name, key, box, place[:2], row.location, True
         self.names[vw.name] = vw
         if news := self.view.news(cookie.title):
-            self.runner.catalogued([news])
+            self.runner.titles_changed([news])
         self.boxes.plays(box, key, vw.id, boot, epoch)
         self.boxes.keep_stream(box)
-        self.runner.handed_over(
+        self.runner.session_handed_over(
             ask_of(vw.id, cookie, self.sense.packages[package], entry.title, entry, len(self.site.ladder.kb) - 1),
             box,
             row.rung,
@@ -887,7 +887,7 @@
         self.lines.info("took over", viewing=vw.id, box=box, key=key, epoch=epoch)
 
     def noted(self, id, kind, amount):
-        self.runner.note(id, kind, amount)
+        self.runner.playback_note(id, kind, amount)
 
     def not_out(self, key):
         self.by_key.pop(key, None)
@@ -901,7 +901,7 @@
 
     def session_over(self, id, how, to=""):
         """to: the manager that has it now, where its box said so."""
-        vw, held = self.viewings.get(id), self.runner.held.get(id)
+        vw, held = self.viewings.get(id), self.runner.sessions.get(id)
         if vw is None:
             return
         if to:
@@ -909,7 +909,7 @@
         self.dismiss(vw)
         self.lines.info("over", viewing=id, how=how.value)
         if held is not None:
-            self.runner.ended(id, held.nth, how, now() - held.sent_at)
+            self.runner.attempt_ended(id, held.nth, how, now() - held.sent_at)
 
     def listed(self, kind, entries):
         before = set(self.boxes.places)
@@ -917,7 +917,7 @@
         self.boxes.placed(self.book.places)
         self.members.listed(set(self.book.places) - before)
         self.lines.info("listed", kind=kind.value, boxes=len(entries), version=self.book.version)
-        self.runner.listing(kind, entries)
+        self.runner.server_list_changed(kind, entries)
 
     # From the catalogue
 
@@ -926,7 +926,7 @@
         self.fleet.versions(self.watch.follower)
         self.audit.renew()
         if titles is not None:
-            self.runner.catalogued(self.view.changed(titles))
+            self.runner.titles_changed(self.view.changed(titles))
 
     def check_titles(self, titles):
         """A version that does not fit this manager's own terms is refused; the last good one serves on."""
--- a/flaxscale/front/members.py
+++ b/flaxscale/front/members.py
@@ -141,7 +141,7 @@
         made = self.book.reserved(now())
         if made != self.told:
             self.told = made
-            self.front.runner.reserved(*made)
+            self.front.runner.seats_reserved(*made)
 
     def over_early(self, key):
         """A session is over, or another's, by its box's stream or by our own order: where its claim is out, the grant
@@ -199,7 +199,7 @@
                 self.take_over(news.name)
 
     def word(self, sender, box, kb):
-        self.front.runner.peer_says(sender, box, kb)
+        self.front.runner.peer_load_changed(sender, box, kb)
 
     # Taking over
 
--- a/flaxscale/front/peaks.py
+++ b/flaxscale/front/peaks.py
@@ -81,7 +81,7 @@
         self.kept_kb = sum(rooms.values())
         told = rooms, titles, packages
         if told != self.told or rooms:
-            runner.kept(
+            runner.peaks_reserved(
                 rooms,
                 {title_id(t): rung for t, rung in titles.items()},
                 {self.front.sense.packages[p]: rung for p, rung in packages.items()},
--- a/flaxscale/interface.py
+++ b/flaxscale/interface.py
@@ -79,28 +79,28 @@
     note_every: int  # 0: no note tells of a link, or of an uplink
     load_names: tuple
     load_by_probe: bool = False  # load reports come with probes only
-    weighed: bool = True  # the list's weights tell sizes; else all are alike
+    weights_known: bool = True  # the list's weights tell sizes; else all are alike
 
 
 class RuleTerms(NamedTuple):
     drain_grace: int
-    warm_within: int
+    warm_up_time: int
     start_capacity: float
-    tip_multiple: float
-    fall_span: int
+    overload_multiple: float
+    overload_window: int
     ask_within: int
-    further_free: float  # None where further tune-ins are not rationed
-    further_share: float
-    further_span: int
+    free_retries: float  # None where further tune-ins are not rationed
+    retry_share: float
+    retry_window: int
 
 
 class Allowed(NamedTuple):
-    tune_ins: int
-    call_off: bool
-    hold_off: bool
-    hold_off_most: int
-    peers: bool
-    probes: bool
+    max_attempts: int
+    may_cancel: bool
+    may_hold_off: bool
+    max_hold_off: int
+    may_message_peers: bool
+    may_probe: bool
     dial_timeout: int
 
 
@@ -116,7 +116,7 @@
 class Goal(NamedTuple):
     """What the site's service figure is made of."""
 
-    whole: float
+    overall: float
     worst_window: float
     worst_package: float
 
@@ -124,8 +124,8 @@
 class SiteTerms(NamedTuple):
     """What a manager is told of its site when it starts."""
 
-    me: int
-    peers: int
+    manager_number: int
+    manager_count: int
     zone: int
     seed: int
     packages: tuple
@@ -160,13 +160,13 @@
     package: int
     title: int
     viewer: int
-    left: int
-    top: int
+    time_left: int
+    top_rung: int
     first_cell: int
     cells: int
-    hint: int  # expected length; 0: none
-    moved: bool
-    again: bool
+    expected_length: int  # 0: not known
+    was_moved: bool
+    is_retry: bool
 
 
 class TitleUpdate(NamedTuple):
@@ -174,15 +174,15 @@
 
     title: int
     holders: frozenset | None  # servers that new set-ups may go to; None: forget what was told
-    low: int  # rungs that exist for it, without a gap
-    top: int
+    lowest_rung: int  # rungs that exist for it, without a gap
+    highest_rung: int
     seats: tuple  # (package, seats) where they differ from the package's own
 
 
 class PeakReservations(NamedTuple):
     """Room kept for viewings of these titles, from now until it is told anew."""
 
-    rooms: dict  # server: kB a second of its link, what they use of it already included
+    reserved_kb: dict  # server: kB a second of its link, what they use of it already included
     titles: dict  # title: the rung that room is kept for
     packages: dict  # the same for all titles of a package
 
@@ -201,7 +201,7 @@
 
 
 class SessionHandedOver(NamedTuple):
-    viewing: SessionRequest
+    request: SessionRequest
     server: int
     age: int = 1 << 60  # how long it has played there; not told: long
 
@@ -210,7 +210,7 @@
     id: int
     nth: int
     server: int
-    took: int
+    duration: int
 
 
 class PlaybackNote(NamedTuple):
@@ -225,9 +225,9 @@
     id: int
     nth: int
     server: int
-    how: Outcome
-    took: int
-    over: bool
+    outcome: Outcome
+    duration: int
+    session_over: bool
     load: tuple  # as FleetTerms.load_names; empty: none came
 
 
@@ -241,8 +241,8 @@
 
 class ProbeEnded(NamedTuple):
     server: int
-    how: Outcome
-    took: int
+    outcome: Outcome
+    duration: int
     load: tuple
 
 
--- a/flaxscale/model/fleet.py
+++ b/flaxscale/model/fleet.py
@@ -106,7 +106,7 @@
     def tell_one(self, manager, row):
         if manager.up and not manager.stands(self.tell_one, manager, row):
             manager.told[row.server] = row
-            manager.runner.listing(ListKind.DELTA, [row])
+            manager.runner.server_list_changed(ListKind.DELTA, [row])
             manager.listed([row])
 
     def full(self):
--- a/flaxscale/model/judge.py
+++ b/flaxscale/model/judge.py
@@ -33,7 +33,7 @@
         self.grace = round(play.day.site.rules.drain_grace_ms * 10)
         play.tap = self.tap
         for manager in play.managers:
-            manager.runner.tap = self.tap
+            manager.runner.observer = self.tap
         self.around("set_up", self.set_up)
         self.around("score", self.score)
         self.arrivals, self.told_start = defaultdict(list), {}
--- a/flaxscale/model/manager.py
+++ b/flaxscale/model/manager.py
@@ -29,7 +29,7 @@
         self.runner = Runner(sense.terms, self, self.play.tap)
         self.keeper = self.play.keeper(self.play.day_s() if self.life > 1 else None)
         self.told = {row.server: row for row in rows}
-        self.runner.listing(ListKind.CACHED, rows)
+        self.runner.server_list_changed(ListKind.CACHED, rows)
         if self.play.day.members:
             names = [f"m{m}" for m in range(self.play.day.site.managers)]
             self.taker = Taker(self.play, self, names[: self.me] if self.life == 1 else names)
@@ -75,9 +75,9 @@
             vw = self.play.unwatched(vw, key)
         self.claimed[vw.id] = key, epoch
         self.viewings[vw.id], vw.manager, vw.life = vw, self, self.life
-        self.runner.handed_over(self.play.asked_of(vw, 0), box, row.rung, row.age)
+        self.runner.session_handed_over(self.play.asked_of(vw, 0), box, row.rung, row.age)
         if vw.playing and vw.gone:  # its player went while nobody held it
-            self.runner.left(vw.id)
+            self.runner.client_left(vw.id)
 
     def end_there(self, box, key, epoch):
         """Ends a session there that is not to be held."""
@@ -88,20 +88,20 @@
         """A box says that a viewing is another manager's now."""
         if self.stands(self.moved, life, id) or not self.up or life != self.life or id not in self.viewings:
             return
-        held = self.runner.held.get(id)
+        held = self.runner.sessions.get(id)
         if held is not None and held.phase is not Phase.PLAYS:
             self.early.add(id)  # a set-up that is out: its answer is still to come
             return
         self.viewings.pop(id)
         self.claimed.pop(id, None)
         if held is not None:
-            self.runner.ended(id, held.nth, Outcome.OK, 0)
+            self.runner.attempt_ended(id, held.nth, Outcome.OK, 0)
 
     def keep_room(self, s):
         """Each second: the room for announced peaks, from this manager's own list."""
         if self.up and self.keeper is not None:
             servers = {id: (srv.row, srv.link.kb) for id, srv in self.runner.manager.servers.items()}
-            self.runner.kept(*self.keeper.rooms(s, servers))
+            self.runner.peaks_reserved(*self.keeper.rooms(s, servers))
 
     def crash(self):
         """Outright: all that it knew is gone; its boxes end what it held when their lease is over."""
@@ -137,7 +137,7 @@
     def now(self):
         return self.world.now
 
-    def wake(self, at):
+    def wake_at(self, at):
         self.alarm += 1
         self.world.at(at, self.ring, self.alarm)
 
@@ -147,10 +147,10 @@
         if self.up and alarm == self.alarm:  # only the last that was asked for
             self.runner.tick()
 
-    def tune_in(self, id, nth, server, rung, left):
+    def start_attempt(self, id, nth, server, rung, left):
         self.play.set_up(self, self.viewings[id], nth, server, rung)
 
-    def abandon(self, id, nth, server):
+    def abandon_attempt(self, id, nth, server):
         self.order_end(id, nth, server)
         return True
 
@@ -158,7 +158,7 @@
         key, epoch = self.key_of(id, nth)
         self.play.end_at_box(server, key, self, epoch)
 
-    def end(self, id, nth, server):
+    def end_session(self, id, nth, server):
         self.order_end(id, nth, server)
         self.viewings.pop(id, None)
         self.claimed.pop(id, None)
@@ -194,21 +194,21 @@
             return
         if how is None and id in self.early:  # it is another's by now
             self.early.discard(id)
-            self.runner.ended(id, nth, Outcome.RESET, took)
+            self.runner.attempt_ended(id, nth, Outcome.RESET, took)
         elif how is None:
             notes = [(kind, figures[name]) for name, kind in self.figures.items()]
-            if not self.runner.begun(id, nth, took, notes):
+            if not self.runner.attempt_succeeded(id, nth, took, notes):
                 vw = self.viewings.get(id)
                 if vw is not None and vw.server is not None:
                     self.play.end_at_box(vw.server, (self.me, life, id, nth), self, 0)
         else:
-            self.runner.ended(id, nth, how, took)
+            self.runner.attempt_ended(id, nth, how, took)
 
     def probed(self, life, server, how, took, figures):
         if self.stands(self.probed, life, server, how, took, figures):
             return
         if self.up and life == self.life:
-            self.runner.probed(server, how, took, [figures[name] for name in self.load_names] if figures else ())
+            self.runner.probe_ended(server, how, took, [figures[name] for name in self.load_names] if figures else ())
 
     def lost(self, life, id, nth, how=Outcome.RESET):
         if self.stands(self.lost, life, id, nth, how):
@@ -217,15 +217,15 @@
             if id in self.claimed:
                 self.claimed.pop(id)
                 nth = 0
-            if self.runner.held[id].phase is Phase.PLAYS:
+            if self.runner.sessions[id].phase is Phase.PLAYS:
                 self.viewings.pop(id)  # else its tune-in failed, and the module may try another
-            self.runner.ended(id, nth, how, 0)
+            self.runner.attempt_ended(id, nth, how, 0)
 
     def note(self, life, id, kind, amount):
         if self.stands(self.note, life, id, kind, amount):
             return
         if self.up and life == self.life and id in self.viewings:
-            self.runner.note(id, kind, amount)
+            self.runner.playback_note(id, kind, amount)
 
     def said_over(self, life, key):
         """A box ended a session."""
--- a/flaxscale/model/play.py
+++ b/flaxscale/model/play.py
@@ -201,7 +201,7 @@
         if wish.leaves is not None and p.tries == self.day.demand.tries:
             self.world.later(round(wish.leaves * SECOND), self.leave, vw)
         self.world.at(asked_at + patience, self.give_up, vw)
-        manager.runner.asked(self.asked_of(vw, max(0, patience - waited - 2 * CLIENT)))
+        manager.runner.session_requested(self.asked_of(vw, max(0, patience - waited - 2 * CLIENT)))
 
     def asked_of(self, vw, left):
         """What a module is told of a viewing. left: of its patience."""
@@ -227,7 +227,7 @@
         if not vw.gone and not vw.playing and vw.manager.up and vw.life == vw.manager.life:
             vw.gone = True
             self.second().fates["left"] += 1
-            vw.manager.runner.left(vw.id)
+            vw.manager.runner.client_left(vw.id)
 
     def give_up(self, vw):
         """Its patience is over and no answer came: a rule is broken, unless its manager died."""
@@ -240,7 +240,7 @@
 
     def answered(self, manager, vw, answer):
         """The manager's answer; the player hears it a moment later."""
-        if answer.fate is AnswerKind.PLAYS:
+        if answer.kind is AnswerKind.PLAYS:
             vw.playing = True
             self.world.later(CLIENT, self.plays, vw)
             return
@@ -249,8 +249,8 @@
             self.faults.append(f"viewing {vw.id} was overdue")
         if not vw.gone:
             vw.gone = True
-            self.second().fates[answer.fate.value] += 1
-            if answer.fate is not AnswerKind.LEFT:
+            self.second().fates[answer.kind.value] += 1
+            if answer.kind is not AnswerKind.LEFT:
                 self.world.later(max(CLIENT, answer.hold_off), self.come_again, vw.player)
 
     def plays(self, vw):
@@ -270,9 +270,9 @@
         manager, life = vw.home
         if manager.up and life == manager.life and vw.id in manager.viewings:
             if not manager.stands(self.left, vw):
-                manager.runner.left(vw.id)
+                manager.runner.client_left(vw.id)
         elif vw.manager.up and vw.life == vw.manager.life and not vw.manager.stands(self.left, vw):
-            vw.manager.runner.left(vw.id)
+            vw.manager.runner.client_left(vw.id)
 
     def come_again(self, p):
         p.tries -= 1
@@ -529,7 +529,7 @@
         if manager.stands(self.hear_peer, manager, life, peer, server, kb):
             return
         if manager.up and manager.life == life:
-            manager.runner.peer_says(peer, server, kb)
+            manager.runner.peer_load_changed(peer, server, kb)
 
     def die(self, holder):
         """A box's process is gone: its viewings break, their managers and players notice."""
@@ -764,7 +764,7 @@
         if manager.stands(self.full_list, manager, life):
             return
         if manager.up and manager.life == life:
-            manager.runner.listing(ListKind.FULL, self.fleet.full())
+            manager.runner.server_list_changed(ListKind.FULL, self.fleet.full())
             manager.told |= {row.server: row for row in self.fleet.full()}
             manager.listed(self.fleet.full())
 
--- a/flaxscale/model/takeover.py
+++ b/flaxscale/model/takeover.py
@@ -108,7 +108,7 @@
         made = self.book.reserved(self.world.now)
         if self.here() and made != self.told:
             self.told = made
-            self.manager.runner.reserved(*made)
+            self.manager.runner.seats_reserved(*made)
 
     def listed(self, boxes):
         """Boxes that the list names only now may hold sessions of an earlier life."""
--- a/flaxscale/platform/config.py
+++ b/flaxscale/platform/config.py
@@ -93,9 +93,9 @@
         raise SiteError(file, "settings", f"other values expected ({bad})") from None
     if raw.limits.sockets < FEWEST:
         raise SiteError(file, "limits.sockets", f"{FEWEST} or more expected")
-    talk = terms.allowed.peers and raw.peer_listen is not None
-    if not 0 <= terms.me < max(terms.peers, 1):
-        raise SiteError(file, "settings: me", f"0 to {terms.peers - 1} expected")
+    talk = terms.allowed.may_message_peers and raw.peer_listen is not None
+    if not 0 <= terms.manager_number < max(terms.manager_count, 1):
+        raise SiteError(file, "settings: me", f"0 to {terms.manager_count - 1} expected")
     listen = address(raw.listen, file, "listen")
     peers = tuple(address(peer, file, f"peers.{n}") for n, peer in enumerate(raw.peers)) if talk else ()
     return Config(
@@ -128,8 +128,8 @@
     found = read(file)
     for key, now, before in (
         ("listen", found.listen_in_file, old.listen_in_file),
-        ("settings: me", found.terms.me, old.terms.me),
-        ("settings: peersTotal", found.terms.peers, old.terms.peers),
+        ("settings: me", found.terms.manager_number, old.terms.manager_number),
+        ("settings: peersTotal", found.terms.manager_count, old.terms.manager_count),
         ("settings: specifics: levelKb", len(found.terms.ladder.kb), len(old.terms.ladder.kb)),
     ):
         if now != before:
--- a/flaxscale/platform/host.py
+++ b/flaxscale/platform/host.py
@@ -141,7 +141,7 @@
         self.config, self.bulletin = found, bulletin
         self.log_to.info("settings taken on", bulletin="%s:%d" % found.bulletin, terms_changed=changed)
         if changed:
-            self.runner.changed(found.terms)
+            self.runner.terms_changed(found.terms)
         for one in news:
             self.hear(one)
         if moved:
@@ -185,7 +185,7 @@
         """
         self.loop.call_later(POLLED, self.loop.call_soon, run)
 
-    def wake(self, at):
+    def wake_at(self, at):
         if self.alarm:
             self.alarm.cancel()
         self.alarm = self.loop.call_later(max(0, at - self.now()) / 10_000, self.alarmed, at)
@@ -298,7 +298,7 @@
         session = self.sessions[setup.id] = session_of(setup, client)
         client.open[setup.call] = session
         left = span(setup.left) - max(0, self.now() - arrived_at)
-        self.runner.asked(self.asked(setup, max(0, left)))
+        self.runner.session_requested(self.asked(setup, max(0, left)))
         self.settle(session)
 
     def asked(self, setup, left):
@@ -323,7 +323,7 @@
         self.counts["handed over"] += 1
         session = self.sessions[setup.id] = session_of(setup, client)
         self.stands(session, endpoint)
-        self.runner.handed_over(self.asked(setup, 0), setup.at, None)
+        self.runner.session_handed_over(self.asked(setup, 0), setup.at, None)
 
     def given_up(self, client, message):
         """A client's own end: of an open set-up on its connection, of what stands on any."""
@@ -338,15 +338,15 @@
         session.client.close_if_answered()
 
     def leave_session(self, session):
-        self.runner.left(session.id)
-        if session.id in self.runner.held and session.endpoint is not None and session.endpoint.withdraw(session):
+        self.runner.client_left(session.id)
+        if session.id in self.runner.sessions and session.endpoint is not None and session.endpoint.withdraw(session):
             # The settings allow no calling off, but what has not left us yet never goes.
-            self.runner.ended(session.id, session.nth, Outcome.MOOT, self.now() - session.sent_at)
+            self.runner.attempt_ended(session.id, session.nth, Outcome.MOOT, self.now() - session.sent_at)
         self.settle(session)
 
     def settle(self, session):
         """Forgets a session that the runner holds no longer."""
-        if session.id not in self.runner.held and self.sessions.get(session.id) is session:
+        if session.id not in self.runner.sessions and self.sessions.get(session.id) is session:
             del self.sessions[session.id]
             if session.endpoint is not None:
                 session.endpoint.playing.discard(session.id)
@@ -364,7 +364,7 @@
     def begun(self, endpoint, session, message):
         session.answer = message.desc
         self.stands(session, endpoint)
-        if self.runner.begun(session.id, session.nth, self.now() - session.sent_at):
+        if self.runner.attempt_succeeded(session.id, session.nth, self.now() - session.sent_at):
             self.counts["plays"] += 1
         else:
             endpoint.playing.discard(session.id)
@@ -377,7 +377,7 @@
         took = self.now() - session.sent_at
         server = f"{session.endpoint.server:08x}" if session.endpoint else None
         self.said(f"set-up {how.value}", call=session.call, server=server, key=session.key, nth=session.nth, took=took)
-        self.runner.ended(session.id, session.nth, how, took, load)
+        self.runner.attempt_ended(session.id, session.nth, how, took, load)
         self.settle(session)
 
     def soon_ended(self, session, how):
@@ -390,7 +390,7 @@
         how = messages.AFTER.get(message.why, Outcome.RESET)
         self.counts[f"over {how.value}"] += 1
         load = messages.load(message, self.config.figures)
-        self.runner.ended(session.id, session.nth, how, self.now() - session.sent_at, load)
+        self.runner.attempt_ended(session.id, session.nth, how, self.now() - session.sent_at, load)
         self.settle(session)
         if how is not Outcome.CANCELLED:
             self.releases.release(session, message.why)
@@ -403,7 +403,7 @@
         self.counts["cut with its server"] += 1
         if not session.endpoint.gone:
             session.endpoint.release(session.call, messages.NORMAL)
-        self.runner.ended(id, session.nth, Outcome.RESET, self.now() - session.sent_at)
+        self.runner.attempt_ended(id, session.nth, Outcome.RESET, self.now() - session.sent_at)
         self.settle(session)
         self.releases.release(session, messages.CUT)
 
@@ -414,17 +414,17 @@
             return
         value = messages.figure(message.fields.get("value", ""), "value")
         self.belief.noted(endpoint.server, kind, value)
-        self.runner.note(session.id, kind, value)
+        self.runner.playback_note(session.id, kind, value)
 
     def hear(self, news):
         """The list, as discovery tells it."""
         self.servers.hear(news)
         self.counts["events"] += 1
-        self.runner.listing(news.kind, news.entries)
+        self.runner.server_list_changed(news.kind, news.entries)
 
     # The port: what the module wants
 
-    def tune_in(self, id, nth, server, rung, left):
+    def start_attempt(self, id, nth, server, rung, left):
         session, endpoint = self.sessions[id], self.servers.endpoints.get(server)
         session.nth, session.rung, session.sent_at = nth, rung, self.now()
         session.expire_at = session.sent_at + left
@@ -436,11 +436,11 @@
             self.servers.busy.add(endpoint)
             endpoint.attempt(session)
 
-    def abandon(self, id, nth, server):
+    def abandon_attempt(self, id, nth, server):
         session = self.sessions.get(id)
         return session is not None and session.endpoint is not None and session.endpoint.abandon(session)
 
-    def end(self, id, nth, server):
+    def end_session(self, id, nth, server):
         session = self.sessions[id]
         session.endpoint.playing.discard(id)
         session.endpoint.release(session.call, messages.NORMAL)
@@ -451,15 +451,15 @@
 
     def answer(self, id, answer):
         session = self.sessions[id]
-        self.counts[f"answered {answer.fate.value}"] += 1
-        if answer.fate is AnswerKind.PLAYS:
+        self.counts[f"answered {answer.kind.value}"] += 1
+        if answer.kind is AnswerKind.PLAYS:
             session.client.carried += 1
             session.client.answer(session, messages.line("accept", session.call, desc=session.answer))
-        elif answer.fate is AnswerKind.BLOCKED:
+        elif answer.kind is AnswerKind.BLOCKED:
             # The platform's clients stay away for whole milliseconds.
             fields = {"wait": answer.hold_off // 10} if answer.hold_off else {}
             session.client.answer(session, messages.line("end", session.call, fields, messages.FULL))
-        elif answer.fate is AnswerKind.ABORTED:
+        elif answer.kind is AnswerKind.ABORTED:
             session.client.answer(session, messages.line("end", session.call, why=messages.CUT))
         else:
             session.client.open.pop(session.call, None)
@@ -468,7 +468,7 @@
         self.peers.say(PEER_WORD.pack(server, kb))
 
     def probe(self, server):
-        self.loop.call_soon(self.runner.probed, server, Outcome.ERROR, 0)
+        self.loop.call_soon(self.runner.probe_ended, server, Outcome.ERROR, 0)
 
     def log(self, text):
         self.said("module", text=text)
--- a/flaxscale/platform/peers.py
+++ b/flaxscale/platform/peers.py
@@ -41,14 +41,14 @@
         if peer is None or len(data) != PEER_WORD.size:
             self.host.counts["foreign words"] += 1
             return
-        if peer == config.terms.me:
+        if peer == config.terms.manager_number:
             return
         server, kb = PEER_WORD.unpack(data)
         if not math.isfinite(kb) or abs(kb) > LINKS_MOST:
             self.host.counts["foreign words"] += 1
             return
         self.host.counts["words heard"] += 1
-        self.host.runner.peer_says(peer, server, kb)
+        self.host.runner.peer_load_changed(peer, server, kb)
 
     def error_received(self, exc):
         self.host.counts["words lost"] += 1
--- a/flaxscale/run.py
+++ b/flaxscale/run.py
@@ -38,11 +38,11 @@
 
 
 class Answer(NamedTuple):
-    fate: AnswerKind
+    kind: AnswerKind
     server: int | None  # where it plays
     rung: int
     hold_off: int  # blocked: how long to stay away; 0: no advice
-    how: Outcome | None  # how the last tune-in ended, for whoever must tell why
+    outcome: Outcome | None  # how the last tune-in ended, for whoever must tell why
     overdue: bool = False  # the module had not answered when the patience ended
 
 
@@ -50,10 +50,10 @@
     """What a runner needs of the world. Nothing here may call the runner back before it returns."""
 
     def now(self) -> int: ...
-    def wake(self, at: int) -> None: ...  # call tick() at this time
-    def tune_in(self, id: int, nth: int, server: int, rung: int, left: int) -> None: ...
-    def abandon(self, id: int, nth: int, server: int) -> bool: ...  # nobody waits for it; had it been sent?
-    def end(self, id: int, nth: int, server: int) -> None: ...  # end what plays
+    def wake_at(self, time: int) -> None: ...  # call tick() at this time
+    def start_attempt(self, id: int, nth: int, server: int, rung: int, time_left: int) -> None: ...
+    def abandon_attempt(self, id: int, nth: int, server: int) -> bool: ...  # nobody waits for it; had it been sent?
+    def end_session(self, id: int, nth: int, server: int) -> None: ...  # end what plays
     def set_rung(self, id: int, nth: int, server: int, rung: int) -> None: ...
     def answer(self, id: int, answer: Answer) -> None: ...
     def tell_peers(self, server: int, kb: float) -> None: ...
@@ -64,13 +64,13 @@
 class SessionRecord:
     """One viewing as the runner knows it."""
 
-    __slots__ = "ask", "phase", "nth", "server", "rung", "deadline", "answered", "sent_at", "how"
+    __slots__ = "request", "phase", "nth", "server", "rung", "deadline", "answered", "sent_at", "outcome"
 
-    def __init__(self, ask, deadline):
-        self.ask, self.phase, self.deadline = ask, Phase.WAITS, deadline
+    def __init__(self, request, deadline):
+        self.request, self.phase, self.deadline = request, Phase.WAITS, deadline
         self.nth, self.server, self.rung, self.sent_at = -1, None, 0, 0
         self.answered = False
-        self.how = None
+        self.outcome = None
 
 
 EXPIRE, ALARM, OVERDUE = range(3)
@@ -79,16 +79,16 @@
 class Runner:
     """Drives one Manager. Every call takes the clock once, so that what comes together is heard together."""
 
-    def __init__(self, terms, port, tap=None):
-        """tap(now, event, actions), if given, sees all that goes into the module and comes out."""
-        self.manager, self.port, self.tap = Manager(terms), port, tap
-        self.held, self.queue, self.timers = {}, deque(), []
-        self.seq = self.faults = self.overdue = 0
-        self.now, self.woken, self.busy = 0, None, False
+    def __init__(self, terms, port, observer=None):
+        """observer(now, event, actions), if given, sees all that goes into the module and comes out."""
+        self.manager, self.port, self.observer = Manager(terms), port, observer
+        self.sessions, self.pending_events, self.timers = {}, deque(), []
+        self.timer_sequence = self.faults = self.overdue = 0
+        self.now, self.next_wake_at, self.processing = 0, None, False
         self.last_answer_at = None  # of a manager that leaves
-        self.due = 0  # the time that this step was due at: now, or that of the timer that is late
+        self.step_due_at = 0  # the time that this step was due at: now, or that of the timer that is late
         # What came of each action, by its type: one look-up an action, since this is the hot path.
-        self.does = {
+        self.action_handlers = {
             interface.TuneIn: self.tune_in,
             interface.SetRung: self.set_rung,
             interface.Block: self.block,
@@ -103,173 +103,173 @@
 
     # What the world tells
 
-    def listing(self, kind, entries):
-        self.step(interface.ServerListUpdate(kind, tuple(entries)))
+    def server_list_changed(self, kind, entries):
+        self.process(interface.ServerListUpdate(kind, tuple(entries)))
 
-    def catalogued(self, events):
+    def titles_changed(self, events):
         """What titles are now."""
         now = self.port.now()
         for event in events:
-            self.step(event, now)
+            self.process(event, now)
 
-    def reserved(self, seats, servers):
+    def seats_reserved(self, seats, servers):
         """Seats that claims may take, and servers that may play what an earlier life of this manager left."""
-        self.step(interface.SeatReservations(seats, servers))
+        self.process(interface.SeatReservations(seats, servers))
 
-    def kept(self, rooms, titles, packages):
+    def peaks_reserved(self, reserved_kb, titles, packages):
         """Room kept for announced peaks, from now on."""
-        self.step(interface.PeakReservations(rooms, titles, packages))
+        self.process(interface.PeakReservations(reserved_kb, titles, packages))
 
     def answer_by(self, at):
         """A planned stop: whoever waits for an answer has one by then, and whoever comes later too."""
         self.last_answer_at = at
-        for id, held in self.held.items():
+        for id, held in self.sessions.items():
             if not held.answered and held.deadline > at:
                 held.deadline = at
-                self.at(at - GUARD, OVERDUE, id, 0)
-        self.set_alarm()
+                self.add_timer(at - GUARD, OVERDUE, id, 0)
+        self.schedule_wake()
 
-    def asked(self, ask):
+    def session_requested(self, ask):
         """A viewing is taken: from here on it gets exactly one answer."""
-        if ask.id in self.held:
+        if ask.id in self.sessions:
             raise ValueError(f"viewing {ask.id} is held already")
         self.now = self.port.now()
         if self.last_answer_at is not None:
-            ask = ask._replace(left=max(0, min(ask.left, self.last_answer_at - self.now)))
-        self.held[ask.id] = SessionRecord(ask, self.now + ask.left)
-        self.at(self.now + max(0, ask.left - GUARD), OVERDUE, ask.id, 0)
-        self.step(ask, self.now)
+            ask = ask._replace(time_left=max(0, min(ask.time_left, self.last_answer_at - self.now)))
+        self.sessions[ask.id] = SessionRecord(ask, self.now + ask.time_left)
+        self.add_timer(self.now + max(0, ask.time_left - GUARD), OVERDUE, ask.id, 0)
+        self.process(ask, self.now)
 
-    def handed_over(self, ask, server, rung, *age):
+    def session_handed_over(self, ask, server, rung, *age):
         """A viewing that plays already, from before this runner was made; rung None: a note will tell.
 
         age: how long it has played there, in tenths of a millisecond, where that is known.
         """
         self.now = self.port.now()
-        held = self.held[ask.id] = SessionRecord(ask, self.now + ask.left)
+        held = self.sessions[ask.id] = SessionRecord(ask, self.now + ask.time_left)
         held.phase, held.nth, held.server, held.rung, held.answered = Phase.PLAYS, 0, server, rung or 0, True
-        self.step(interface.SessionHandedOver(ask, server, *age), self.now)
+        self.process(interface.SessionHandedOver(ask, server, *age), self.now)
         if rung is not None:
-            self.step(interface.PlaybackNote(ask.id, 0, server, NoteKind.RUNG, float(rung)), self.now)
+            self.process(interface.PlaybackNote(ask.id, 0, server, NoteKind.RUNG, float(rung)), self.now)
 
-    def begun(self, id, nth, took, load=()):
+    def attempt_succeeded(self, id, nth, duration, load=()):
         """The box plays it. False: nobody waits for this tune-in any more, so the caller must end it there.
 
         load: (NoteKind, amount) pairs that the answer brought.
         """
-        held = self.held.get(id)
+        held = self.sessions.get(id)
         if held is None or held.nth != nth or held.phase is not Phase.OUT:
             return False
         now, server = self.port.now(), held.server
         if held.answered:  # the client left while the tune-in was out and it could not be called off
             held.phase = Phase.WAITS
-            self.port.end(id, nth, server)
-            self.step(interface.AttemptEnded(id, nth, server, Outcome.CANCELLED, took, True, ()), now)
-            self.forget(id)
+            self.port.end_session(id, nth, server)
+            self.process(interface.AttemptEnded(id, nth, server, Outcome.CANCELLED, duration, True, ()), now)
+            self.drop_idle(id)
             return True
         held.phase = Phase.PLAYS
-        self.tell(id, held, Answer(AnswerKind.PLAYS, server, held.rung, 0, None))
-        self.step(interface.AttemptSucceeded(id, nth, server, took), now)
+        self.send_answer(id, held, Answer(AnswerKind.PLAYS, server, held.rung, 0, None))
+        self.process(interface.AttemptSucceeded(id, nth, server, duration), now)
         for kind, amount in load:
-            self.step(interface.PlaybackNote(id, nth, server, kind, amount), now)
+            self.process(interface.PlaybackNote(id, nth, server, kind, amount), now)
         return True
 
-    def ended(self, id, nth, how, took, load=()):
+    def attempt_ended(self, id, nth, outcome, duration, load=()):
         """The tune-in failed, or what played is over. False: it was over before."""
-        held = self.held.get(id)
+        held = self.sessions.get(id)
         if held is None or held.nth != nth or held.phase is Phase.WAITS:
             return False
         over, server = held.phase is Phase.PLAYS or held.answered, held.server
-        held.phase, held.server, held.how = Phase.WAITS, None, how
+        held.phase, held.server, held.outcome = Phase.WAITS, None, outcome
         if over:
-            self.held.pop(id)
-        self.step(interface.AttemptEnded(id, nth, server, how, took, over, load))
+            self.sessions.pop(id)
+        self.process(interface.AttemptEnded(id, nth, server, outcome, duration, over, load))
         return True
 
-    def left(self, id):
+    def client_left(self, id):
         """The client is gone, or ends what plays."""
-        held = self.held.get(id)
+        held = self.sessions.get(id)
         if held is None:
             return
         now = self.port.now()
         if held.phase is Phase.PLAYS:
-            self.port.end(id, held.nth, held.server)
-            self.held.pop(id)
-            self.step(
+            self.port.end_session(id, held.nth, held.server)
+            self.sessions.pop(id)
+            self.process(
                 interface.AttemptEnded(id, held.nth, held.server, Outcome.CANCELLED, now - held.sent_at, True, ()), now
             )
             return
         if not held.answered:
-            self.tell(id, held, Answer(AnswerKind.LEFT, None, 0, 0, held.how))
-            self.step(interface.ClientLeft(id), now)
-            self.forget(id)
+            self.send_answer(id, held, Answer(AnswerKind.LEFT, None, 0, 0, held.outcome))
+            self.process(interface.ClientLeft(id), now)
+            self.drop_idle(id)
 
-    def note(self, id, kind, amount):
+    def playback_note(self, id, kind, amount):
         """News of a box, told on a viewing of ours that plays there."""
-        held = self.held.get(id)
+        held = self.sessions.get(id)
         if held is not None and held.phase is Phase.PLAYS:
-            self.step(interface.PlaybackNote(id, held.nth, held.server, kind, amount))
+            self.process(interface.PlaybackNote(id, held.nth, held.server, kind, amount))
 
-    def peer_says(self, peer, server, kb):
-        self.step(interface.PeerLoadChange(peer, server, kb))
+    def peer_load_changed(self, peer, server, kb):
+        self.process(interface.PeerLoadChange(peer, server, kb))
 
-    def probed(self, server, how, took, load=()):
+    def probe_ended(self, server, outcome, duration, load=()):
         """What came of a probe; load: the figures that the terms name, in their order, or none."""
-        self.step(interface.ProbeEnded(server, how, took, tuple(load)))
+        self.process(interface.ProbeEnded(server, outcome, duration, tuple(load)))
 
-    def changed(self, terms):
+    def terms_changed(self, terms):
         """Other terms from now on. What was taken in stays: its phase, its deadline, the answer that it is owed."""
-        self.step(interface.TermsChanged(terms))
+        self.process(interface.TermsChanged(terms))
 
     def tick(self):
         """Timers that are due."""
-        now, self.woken = self.port.now(), None
+        now, self.next_wake_at = self.port.now(), None
         while self.timers and self.timers[0][0] <= now:
             due, _, kind, id, nth = heapq.heappop(self.timers)
             if kind == ALARM:
-                self.step(interface.TimerFired(id), now, due)
+                self.process(interface.TimerFired(id), now, due)
                 continue
-            held = self.held.get(id)
+            held = self.sessions.get(id)
             if held is None:
                 continue
             if kind == EXPIRE and held.phase is Phase.OUT and held.nth == nth:
                 # What never left us never ran: an unsafe set-up may then be tried elsewhere.
-                sent = self.port.abandon(id, nth, held.server)
-                self.ended(id, nth, Outcome.TIMEOUT if sent else Outcome.UNREACHED, now - held.sent_at)
+                sent = self.port.abandon_attempt(id, nth, held.server)
+                self.attempt_ended(id, nth, Outcome.TIMEOUT if sent else Outcome.UNREACHED, now - held.sent_at)
             elif kind == OVERDUE and not held.answered:
                 self.overdue += 1
                 self.port.log(f"viewing {id}: no answer when its patience ended")
-                self.tell(id, held, Answer(AnswerKind.ABORTED, None, 0, 0, held.how, True))
-                self.step(interface.ClientLeft(id), now)
-                self.forget(id)
-        self.set_alarm()
+                self.send_answer(id, held, Answer(AnswerKind.ABORTED, None, 0, 0, held.outcome, True))
+                self.process(interface.ClientLeft(id), now)
+                self.drop_idle(id)
+        self.schedule_wake()
 
     # What the module wants
 
-    def step(self, event, now=None, due=None):
+    def process(self, event, now=None, due=None):
         """One event in, its actions out; what the actions cause is heard after them, in order."""
-        self.queue.append(event)
-        if self.busy:
+        self.pending_events.append(event)
+        if self.processing:
             return
-        self.busy = True
+        self.processing = True
         self.now = self.port.now() if now is None else now
-        self.due = self.now if due is None else due
+        self.step_due_at = self.now if due is None else due
         try:
-            while self.queue:
-                event = self.queue.popleft()
+            while self.pending_events:
+                event = self.pending_events.popleft()
                 acts = self.manager.handle(self.now, event)
-                if self.tap:
-                    self.tap(self.now, event, acts)
+                if self.observer:
+                    self.observer(self.now, event, acts)
                 for act in acts:
-                    self.does[type(act)](act)
+                    self.action_handlers[type(act)](act)
         finally:
-            self.busy = False
-        self.set_alarm()
+            self.processing = False
+        self.schedule_wake()
 
     def tune_in(self, act):
-        held = self.held.get(act.id)
+        held = self.sessions.get(act.id)
         if held is None or held.answered or held.phase is not Phase.WAITS:
-            self.fault(
+            self.report_fault(
                 f"viewing {act.id}: a tune-in while it is "
                 f"{'not held' if held is None else 'answered' if held.answered else held.phase.value}"
             )
@@ -277,64 +277,64 @@
         held.nth += 1
         held.phase, held.server, held.sent_at = Phase.OUT, act.server, self.now
         expire = min(act.expire_at, held.deadline)
-        self.at(expire, EXPIRE, act.id, held.nth)
-        self.port.tune_in(act.id, held.nth, act.server, held.rung, expire - self.now)
+        self.add_timer(expire, EXPIRE, act.id, held.nth)
+        self.port.start_attempt(act.id, held.nth, act.server, held.rung, expire - self.now)
 
     def set_rung(self, act):
-        if held := self.held.get(act.id):
+        if held := self.sessions.get(act.id):
             held.rung = act.rung
             if held.phase is Phase.PLAYS:
                 self.port.set_rung(act.id, held.nth, held.server, act.rung)
 
     def block(self, act):
-        self.give(act.id, AnswerKind.BLOCKED, act.hold_off)
+        self.refuse(act.id, AnswerKind.BLOCKED, act.hold_off)
 
     def abort(self, act):
-        self.give(act.id, AnswerKind.ABORTED, 0)
+        self.refuse(act.id, AnswerKind.ABORTED, 0)
 
-    def give(self, id, fate, hold_off):
-        held = self.held.get(id)
+    def refuse(self, id, kind, hold_off):
+        held = self.sessions.get(id)
         if held is None or held.answered or held.phase is Phase.PLAYS:
-            self.fault(f"viewing {id}: {fate.value} after its answer")
+            self.report_fault(f"viewing {id}: {kind.value} after its answer")
             return
-        self.tell(id, held, Answer(fate, None, 0, hold_off, held.how))
-        self.forget(id)
+        self.send_answer(id, held, Answer(kind, None, 0, hold_off, held.outcome))
+        self.drop_idle(id)
 
     def call_off(self, act):
-        held = self.held.get(act.id)
+        held = self.sessions.get(act.id)
         if held and held.phase is Phase.OUT and held.nth == act.nth:
-            self.port.abandon(act.id, act.nth, held.server)
-            self.ended(act.id, act.nth, Outcome.CANCELLED, self.now - held.sent_at)
+            self.port.abandon_attempt(act.id, act.nth, held.server)
+            self.attempt_ended(act.id, act.nth, Outcome.CANCELLED, self.now - held.sent_at)
 
     def move(self, act):
-        held = self.held.get(act.id)
+        held = self.sessions.get(act.id)
         if held and held.phase is Phase.PLAYS:
-            self.left(act.id)
+            self.client_left(act.id)
 
     def remind(self, act):
-        self.at(self.now + act.after, ALARM, act.token, 0)
+        self.add_timer(self.now + act.after, ALARM, act.token, 0)
 
     # Small change
 
-    def tell(self, id, held, answer):
+    def send_answer(self, id, held, answer):
         held.answered = True
         self.port.answer(id, answer)
 
-    def forget(self, id):
+    def drop_idle(self, id):
         """An answered viewing is kept only while a tune-in of it is out."""
-        held = self.held.get(id)
+        held = self.sessions.get(id)
         if held and held.phase is Phase.WAITS:
-            del self.held[id]
+            del self.sessions[id]
 
-    def fault(self, text):
+    def report_fault(self, text):
         self.faults += 1
         self.port.log(f"fault: {text}")
 
-    def at(self, time, kind, id, nth):
-        self.seq += 1
-        heapq.heappush(self.timers, (time, self.seq, kind, id, nth))
+    def add_timer(self, time, kind, id, nth):
+        self.timer_sequence += 1
+        heapq.heappush(self.timers, (time, self.timer_sequence, kind, id, nth))
 
-    def set_alarm(self):
-        if self.timers and (self.woken is None or self.timers[0][0] < self.woken):
-            self.woken = self.timers[0][0]
-            self.port.wake(self.woken)
+    def schedule_wake(self):
+        if self.timers and (self.next_wake_at is None or self.timers[0][0] < self.next_wake_at):
+            self.next_wake_at = self.timers[0][0]
+            self.port.wake_at(self.next_wake_at)
--- a/flaxscale/site/settings.py
+++ b/flaxscale/site/settings.py
@@ -46,8 +46,8 @@
     )
     rationed = "resendSpanMs" in rules
     return interface.SiteTerms(
-        me=top["me"],
-        peers=top["peersTotal"],
+        manager_number=top["me"],
+        manager_count=top["peersTotal"],
         zone=top["myZone"],
         seed=seed,
         packages=packages,
--- a/flaxscale/site/terms.py
+++ b/flaxscale/site/terms.py
@@ -64,8 +64,8 @@
         rules, fleet, allowed = site.rules, site.fleet, site.allowed
         further = rules.further
         return interface.SiteTerms(
-            me=self.me,
-            peers=site.managers,
+            manager_number=self.me,
+            manager_count=site.managers,
             zone=self.zone,
             seed=self.seed,
             packages=tuple(
--- a/tests/drive.py
+++ b/tests/drive.py
@@ -46,8 +46,8 @@
     cross=0.0,
 ):
     return interface.SiteTerms(
-        me=me,
-        peers=peers,
+        manager_number=me,
+        manager_count=peers,
         zone=0,
         seed=seed,
         packages=tuple(packages),
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -90,7 +90,7 @@
         self.boxes[1].die()
         await self.log[0].seen("over", 20, how="reset")
         front = self.fronts[0]
-        self.assertEqual((0, {}), (len(front.viewings), front.runner.held))
+        self.assertEqual((0, {}), (len(front.viewings), front.runner.sessions))
         self.assertEqual(0, sum(len(s.viewings) for s in front.runner.manager.servers.values()))
         for s in seen:
             gone = await self.player.end(front.address, s.location)
@@ -148,7 +148,7 @@
         wishes = [self.wish(viewer="anna"), self.wish(viewer="anna")]
         replies = await asyncio.gather(*(self.raw(self.post(w)) for w in wishes))
         self.assertEqual(2, len({location(r) for r in replies}))
-        again = [vw.ask.again for vw in self.fronts[0].runner.held.values()]
+        again = [vw.request.is_retry for vw in self.fronts[0].runner.sessions.values()]
         self.assertEqual([False, True], again)
 
     async def test_a_viewer_who_leaves_in_the_middle_of_a_set_up(self):
@@ -461,7 +461,7 @@
         await self.until(lambda: not any(b.box.sessions for b in self.boxes.values()), "all boxes are free")
         self.assertEqual(12, len(self.log[0].all("answered")))
         self.assertEqual(12, sum(len(self.setups(n)) for n in self.boxes))  # none was sent a second time
-        self.assertEqual(0, len(self.fronts[0].runner.held))
+        self.assertEqual(0, len(self.fronts[0].runner.sessions))
 
 
 class Proof(Rig):
--- a/tests/test_inhand.py
+++ b/tests/test_inhand.py
@@ -221,7 +221,7 @@
         [vw] = [vw for vw in adopter.viewings.values() if vw.name.startswith("m0.")]
         box, key, count = vw.box, vw.key, len(adopter.viewings)
         pushed, adopter.boxes.push_now = adopter.boxes.push_now, lambda box: None  # its orders wait
-        adopter.runner.left(vw.id)
+        adopter.runner.client_left(vw.id)
         adopter.found(box, [key])
         jobs = [job for (_, of), job in adopter.members.jobs.items() if of == adopter.name]
         await within(LIMIT, asyncio.gather(*jobs))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -33,7 +33,7 @@
         sent["conn"].say(line("end", second, why=16))
         self.assertEqual(16, (await self.seen("end", who="viewer", call=second))["why"])
         await self.seen("ended", who=1, call=second)
-        self.assertEqual(({}, {}), (self.host.sessions, self.host.runner.held))
+        self.assertEqual(({}, {}), (self.host.sessions, self.host.runner.sessions))
 
     async def test_releases_that_cross_are_heard_once(self):
         await self.server(1, lambda conn, row: row["op"] == "offer" and plays(conn, row))
@@ -425,11 +425,11 @@
         await self.start(1)
         self.servers[1].close()
         seen = []
-        self.host.runner.tap = lambda now, event, acts: seen.append(event)
+        self.host.runner.observer = lambda now, event, acts: seen.append(event)
         conn = await self.viewer()
         call = self.ask(conn, left=300)
         await self.seen("end", who="viewer", call=call)
-        hows = {event.how for event in seen if isinstance(event, interface.AttemptEnded)}
+        hows = {event.outcome for event in seen if isinstance(event, interface.AttemptEnded)}
         self.assertEqual({interface.Outcome.UNREACHED}, hows)
 
     async def test_a_thousand_servers_come_and_go_and_the_tables_stay_flat(self):
@@ -487,7 +487,7 @@
         settings["caps"]["maxRetryAfterMs"] = 100.0
         self.write(settings=settings)
         self.host.reload()
-        self.assertEqual(1000, self.host.runner.manager.allowed.hold_off_most)
+        self.assertEqual(1000, self.host.runner.manager.allowed.max_hold_off)
 
     def settings(self):
         from tests.platform_rig import SETTINGS
@@ -571,7 +571,7 @@
         await self.server(11)
         await self.start(11)
         by_sockets = []
-        self.host.runner.tap = lambda now, event, acts: by_sockets.append(event)
+        self.host.runner.observer = lambda now, event, acts: by_sockets.append(event)
         conn = await self.viewer()
         call = self.ask(conn, left=1500, call="0000000000000001", key="5", extras="home:0;copies:1;top:1;viewer:6")
         server = (await self.seen("offer", who=11))["conn"]
@@ -582,15 +582,15 @@
 
         def bare(events):  # how long things took is the clock's
             return [
-                event._replace(took=0) if hasattr(event, "took") else event
+                event._replace(duration=0) if hasattr(event, "duration") else event
                 for event in events
                 if isinstance(event, kinds)
             ]
 
         # What the client has left counts from when its line came, so the sockets' own time is taken off it.
         by_wire, by_sockets = bare(by_wire), bare(by_sockets)
-        self.assertTrue(0 <= by_wire[0].left - by_sockets[0].left <= 50)
-        by_sockets[0] = by_sockets[0]._replace(left=by_wire[0].left)
+        self.assertTrue(0 <= by_wire[0].time_left - by_sockets[0].time_left <= 50)
+        by_sockets[0] = by_sockets[0]._replace(time_left=by_wire[0].time_left)
         self.assertEqual(by_wire, by_sockets)
         self.assertEqual(4, len(by_wire))
         self.assertEqual(wirehost.site_terms(params, 0), self.host.config.terms._replace(seed=0))
@@ -615,7 +615,7 @@
         mine = "127.0.0.1:%d" % own[1]
         await self.start(1, settings=settings, peer_listen=mine, peers=[mine, peer], peers_all=peer)
         heard = []
-        self.host.runner.tap = lambda now, event, acts: heard.append(event)
+        self.host.runner.observer = lambda now, event, acts: heard.append(event)
         conn = await self.viewer()
         self.ask(conn)
         await self.seen("accept", who="viewer")
--- a/tests/test_platform_crossings.py
+++ b/tests/test_platform_crossings.py
@@ -97,7 +97,7 @@
 
     def clip_waits(self):
         """Whether some session has been read and waits for its slot."""
-        return [held for held in self.host.runner.held.values() if held.nth < 0]
+        return [held for held in self.host.runner.sessions.values() if held.nth < 0]
 
 
 class Clients(Crossings):
@@ -243,7 +243,7 @@
                         made.send(line("end", "00000000000000a1", why=16))
 
                 # The slot is overdue, the close unread.
-                await self.stands_still(self.host.runner.woken + loopwatch.LATE + 100, leave)
+                await self.stands_still(self.host.runner.next_wake_at + loopwatch.LATE + 100, leave)
                 while self.host.sessions:
                     await self.turn()
         other = await self.viewer()
@@ -255,7 +255,7 @@
         await self.start(1)
         made = await self.waits()
         server = (await self.seen("offer", who=1))["conn"]
-        held = next(iter(self.host.runner.held.values()))
+        held = next(iter(self.host.runner.sessions.values()))
         expires = min(at for at, _, kind, *_ in self.host.runner.timers if kind == 0)
         accept = line("accept", "00000000000000a1", desc=ANSWER)
         to_manager = server.transport.get_extra_info("socket").fileno()
@@ -371,7 +371,7 @@
         await self.server(1)
         await self.start(1)
         heard = []
-        self.host.runner.tap = lambda now, event, acts: heard.append(event)
+        self.host.runner.observer = lambda now, event, acts: heard.append(event)
         for number in (
             errno.EMFILE,
             errno.ENFILE,
@@ -391,7 +391,7 @@
                 call = self.ask(conn, left=300)
                 await self.seen("end", who="viewer", call=call)
                 self.assertEqual(
-                    {interface.Outcome.MOOT}, {e.how for e in heard if isinstance(e, interface.AttemptEnded)}
+                    {interface.Outcome.MOOT}, {e.outcome for e in heard if isinstance(e, interface.AttemptEnded)}
                 )
                 server = self.host.runner.manager.servers[1]
                 self.assertEqual((0, 0, None), (server.ills, server.shut_until, server.doubt_at))
@@ -402,7 +402,7 @@
         await self.start(1)
         endpoint, server = self.host.servers.endpoints[1], self.host.runner.manager.servers[1]
         heard = []
-        self.host.runner.tap = lambda now, event, acts: heard.append(event)
+        self.host.runner.observer = lambda now, event, acts: heard.append(event)
         for number in (errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ETIMEDOUT):
             with self.subTest(errno=errno.errorcode[number]):
                 heard.clear()
@@ -412,7 +412,7 @@
                 call = self.ask(conn, left=300)
                 await self.seen("end", who="viewer", call=call)
                 self.assertEqual(
-                    {interface.Outcome.UNREACHED}, {e.how for e in heard if isinstance(e, interface.AttemptEnded)}
+                    {interface.Outcome.UNREACHED}, {e.outcome for e in heard if isinstance(e, interface.AttemptEnded)}
                 )
                 self.assertEqual((True, 0), (endpoint.fails > 0, endpoint.refusals))
                 self.assertTrue(server.shut_until)
@@ -420,10 +420,12 @@
     async def test_a_connection_that_breaks_for_want_of_memory_here_is_no_failure_of_its_server(self):
         await self.one_out()
         heard = []
-        self.host.runner.tap = lambda now, event, acts: heard.append(event)
+        self.host.runner.observer = lambda now, event, acts: heard.append(event)
         (connection,) = self.host.servers.endpoints[1].connections
         connection.connection_lost(OSError(errno.ENOBUFS, "made to fail"))
-        self.assertEqual([interface.Outcome.CANCELLED], [e.how for e in heard if isinstance(e, interface.AttemptEnded)])
+        self.assertEqual(
+            [interface.Outcome.CANCELLED], [e.outcome for e in heard if isinstance(e, interface.AttemptEnded)]
+        )
         self.assertEqual(0, self.host.runner.manager.servers[1].ills)
 
     async def test_a_connection_whose_end_was_read_takes_no_set_up(self):
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -17,24 +17,24 @@
     def now(self):
         return self.clock
 
-    def wake(self, at):
+    def wake_at(self, at):
         self.alarm = at
 
-    def tune_in(self, id, nth, server, rung, left):
+    def start_attempt(self, id, nth, server, rung, left):
         self.did.append(("tune_in", id, nth, server, rung, left))
 
-    def abandon(self, id, nth, server):
+    def abandon_attempt(self, id, nth, server):
         self.did.append(("abandon", id, nth))
         return self.sends
 
-    def end(self, id, nth, server):
+    def end_session(self, id, nth, server):
         self.did.append(("end", id, nth, server))
 
     def set_rung(self, id, nth, server, rung):
         self.did.append(("set_rung", id, server, rung))
 
     def answer(self, id, answer):
-        self.did.append(("answer", id, answer.fate, answer.how))
+        self.did.append(("answer", id, answer.kind, answer.outcome))
 
     def tell_peers(self, server, kb):
         self.did.append(("tell", server))
@@ -54,7 +54,7 @@
             self.port,
             lambda now, event, acts: self.events.append(event),
         )
-        self.runner.listing(
+        self.runner.server_list_changed(
             ListKind.FULL, [interface.ServerEntry(n, 0, (n - 1) % 3, 0, 1.0, 0, ServerStatus.READY) for n in (1, 2)]
         )
         self.until(100 * S + 20 * S)
@@ -69,7 +69,7 @@
         self.until(self.port.clock + tenths)
 
     def ask(self, id=1, left=30_000):
-        self.runner.asked(interface.SessionRequest(id, 0, 9, id, left, 2, 0, 3, 0, False, False))
+        self.runner.session_requested(interface.SessionRequest(id, 0, 9, id, left, 2, 0, 3, 0, False, False))
         self.later(600)
 
     def did(self, name):
@@ -79,12 +79,12 @@
         self.start()
         self.ask()
         ((_, id, nth, server, rung, left),) = self.did("tune_in")
-        self.assertTrue(self.runner.begun(1, 0, 200, [(NoteKind.LINK, 0.4)]))
+        self.assertTrue(self.runner.attempt_succeeded(1, 0, 200, [(NoteKind.LINK, 0.4)]))
         self.assertEqual([("answer", 1, AnswerKind.PLAYS, None)], self.did("answer"))
         self.assertEqual([interface.AttemptSucceeded, interface.PlaybackNote], [type(e) for e in self.events[-2:]])
-        self.assertTrue(self.runner.ended(1, 0, Outcome.OK, 5 * S))
-        self.assertFalse(self.runner.ended(1, 0, Outcome.OK, 5 * S))
-        self.assertEqual(({}, {}), (self.runner.held, self.runner.manager.viewings))
+        self.assertTrue(self.runner.attempt_ended(1, 0, Outcome.OK, 5 * S))
+        self.assertFalse(self.runner.attempt_ended(1, 0, Outcome.OK, 5 * S))
+        self.assertEqual(({}, {}), (self.runner.sessions, self.runner.manager.viewings))
 
     def test_silence_expires_and_the_next_box_gets_its_chance(self):
         self.start()
@@ -92,8 +92,8 @@
         self.later(10_000)
         self.assertEqual([0, 1], [row[2] for row in self.did("tune_in")][:2])
         self.assertEqual(("abandon", 1, 0), self.did("abandon")[0])
-        self.assertFalse(self.runner.begun(1, 0, 9000))  # too late: its owner must end it there
-        self.assertEqual(Outcome.TIMEOUT, next(e.how for e in self.events if isinstance(e, interface.AttemptEnded)))
+        self.assertFalse(self.runner.attempt_succeeded(1, 0, 9000))  # too late: its owner must end it there
+        self.assertEqual(Outcome.TIMEOUT, next(e.outcome for e in self.events if isinstance(e, interface.AttemptEnded)))
 
     def test_what_never_left_us_never_ran_so_that_an_unsafe_one_may_be_blocked(self):
         for sends, fate, how in (
@@ -109,12 +109,12 @@
     def test_a_client_that_leaves_at_each_step(self):
         for step in ("waits", "out", "plays"):
             self.start()
-            self.runner.asked(interface.SessionRequest(1, 0, 9, 1, 30_000, 2, 0, 3, 0, False, False))
+            self.runner.session_requested(interface.SessionRequest(1, 0, 9, 1, 30_000, 2, 0, 3, 0, False, False))
             if step != "waits":
                 self.later(600)
             if step == "plays":
-                self.runner.begun(1, 0, 10)
-            self.runner.left(1)
+                self.runner.attempt_succeeded(1, 0, 10)
+            self.runner.client_left(1)
             self.later(30_000)
             self.assertEqual({"waits": 0, "out": 1, "plays": 1}[step], len(self.did("tune_in")), step)
             self.assertEqual(
@@ -122,18 +122,18 @@
                 [row[0] for row in self.port.did if row[0] in ("abandon", "end")],
             )
             self.assertEqual(1, len(self.did("answer")))
-            self.assertEqual(({}, {}), (self.runner.held, self.runner.manager.viewings), step)
+            self.assertEqual(({}, {}), (self.runner.sessions, self.runner.manager.viewings), step)
 
     def test_a_client_that_left_where_nothing_can_be_called_off(self):
         self.start()
-        self.runner.manager.allowed = self.runner.manager.allowed._replace(call_off=False)
+        self.runner.manager.allowed = self.runner.manager.allowed._replace(may_cancel=False)
         self.ask()
-        self.runner.left(1)
+        self.runner.client_left(1)
         self.assertEqual([], self.did("abandon"))
-        self.assertTrue(self.runner.begun(1, 0, 700))
+        self.assertTrue(self.runner.attempt_succeeded(1, 0, 700))
         self.assertEqual([("end", 1, 0, self.did("tune_in")[0][3])], self.did("end"))
         self.assertEqual([AnswerKind.LEFT], [row[2] for row in self.did("answer")])
-        self.assertEqual(({}, {}), (self.runner.held, self.runner.manager.viewings))
+        self.assertEqual(({}, {}), (self.runner.sessions, self.runner.manager.viewings))
 
     def test_a_module_that_asks_for_what_it_may_not_is_a_fault_and_changes_nothing(self):
         self.start()
@@ -141,12 +141,12 @@
         before = list(self.port.did)
         self.runner.tune_in(interface.TuneIn(1, 2, self.port.clock + 5))  # one is out
         self.runner.tune_in(interface.TuneIn(77, 2, self.port.clock + 5))  # never asked for
-        self.runner.begun(1, 0, 10)
+        self.runner.attempt_succeeded(1, 0, 10)
         self.runner.block(interface.Block(1, 0))  # it plays
         self.assertEqual(3, self.runner.faults)
         self.assertEqual(len(before) + 4, len(self.port.did))  # three lines of log and one answer
         with self.assertRaises(ValueError):
-            self.runner.asked(interface.SessionRequest(1, 0, 9, 1, 30_000, 2, 0, 3, 0, False, False))
+            self.runner.session_requested(interface.SessionRequest(1, 0, 9, 1, 30_000, 2, 0, 3, 0, False, False))
 
     def test_a_module_that_never_answers_is_answered_for(self):
         self.start()
@@ -154,15 +154,15 @@
         self.ask()
         self.later(30_000)
         self.assertEqual([("answer", 1, AnswerKind.ABORTED, None)], self.did("answer"))
-        self.assertEqual((1, {}), (self.runner.overdue, self.runner.held))
+        self.assertEqual((1, {}), (self.runner.overdue, self.runner.sessions))
 
     def test_what_is_handed_over_plays_and_takes_orders(self):
         self.start()
-        self.runner.handed_over(interface.SessionRequest(5, 0, 9, 5, 30_000, 2, 0, 3, 0, False, False), 1, 2)
-        self.assertIs(Phase.PLAYS, self.runner.held[5].phase)
-        self.runner.note(5, NoteKind.LINK, 3.0)
+        self.runner.session_handed_over(interface.SessionRequest(5, 0, 9, 5, 30_000, 2, 0, 3, 0, False, False), 1, 2)
+        self.assertIs(Phase.PLAYS, self.runner.sessions[5].phase)
+        self.runner.playback_note(5, NoteKind.LINK, 3.0)
         self.assertEqual([("set_rung", 5, 1, 1)], self.did("set_rung"))
-        self.runner.left(5)
+        self.runner.client_left(5)
         self.assertEqual([("end", 5, 0, 1)], self.did("end"))
 
     def test_the_same_events_give_the_same_actions(self):
@@ -172,19 +172,19 @@
             for n in range(1, 30):
                 self.ask(n)
                 if n % 3:
-                    self.runner.begun(n, 0, 50, [(NoteKind.LINK, 0.1 * n)])
+                    self.runner.attempt_succeeded(n, 0, 50, [(NoteKind.LINK, 0.1 * n)])
                 if n % 5 == 0:
-                    self.runner.left(n)
+                    self.runner.client_left(n)
             self.later(40_000)
             traces.append(self.port.did)
         self.assertEqual(*traces)
 
     def test_a_probe_goes_out_and_its_answer_is_heard(self):
         self.start(probes=True)
-        self.runner.asked(interface.SessionRequest(1, 0, 9, 1, 30_000, 2, 0, 3, 0, False, False))
+        self.runner.session_requested(interface.SessionRequest(1, 0, 9, 1, 30_000, 2, 0, 3, 0, False, False))
         self.assertEqual({("probe", 1), ("probe", 2)}, {d for d in self.port.did if d[0] == "probe"})
-        self.runner.probed(1, Outcome.TIMEOUT, 2_500)
-        self.runner.probed(2, Outcome.OK, 30, (5.0, 0.2, 0.1))
+        self.runner.probe_ended(1, Outcome.TIMEOUT, 2_500)
+        self.runner.probe_ended(2, Outcome.OK, 30, (5.0, 0.2, 0.1))
         self.assertEqual(
             (0.2, None),
             tuple(srv.link.heard_at and srv.link.base for srv in map(self.runner.manager.servers.get, (2, 1))),
@@ -205,6 +205,6 @@
             interface.Log,
         }
         self.start()
-        self.assertEqual(actions, set(self.runner.does))
+        self.assertEqual(actions, set(self.runner.action_handlers))
         rows = [t for t in vars(interface).values() if isinstance(t, type) and issubclass(t, tuple)]
         self.assertEqual(actions, set(rows[rows.index(interface.TuneIn) :]))
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -70,7 +70,7 @@
         for name in ("boats", "depot-clips", "cards"):
             sense = Sense(read_site(EXAMPLES / f"{name}.jsonnet"), me=1, zone=0, seed=5)
             terms = sense.terms
-            self.assertEqual((1, 5), (terms.me, terms.seed))
+            self.assertEqual((1, 5), (terms.manager_number, terms.seed))
             self.assertEqual(len(sense.site.packages), len(terms.packages))
             self.assertTrue(all(p.top < len(terms.ladder.kb) for p in terms.packages))
         boats = Sense(read_site(EXAMPLES / "boats.jsonnet"))
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -34,7 +34,11 @@
         self.lives = [0] * managers
         self.queue, self.number, self.sent = [], itertools.count(1), []
         self.allowed = (  # in the time that the settings name
-            self.rules.tip_multiple * self.rules.start_capacity * places / self.rules.warm_within * self.rules.fall_span
+            self.rules.overload_multiple
+            * self.rules.start_capacity
+            * places
+            / self.rules.warm_up_time
+            * self.rules.overload_window
         )
 
     def most(self):
@@ -46,12 +50,12 @@
 
     def run(self):
         """All set-ups' times until the server is warm."""
-        ends = STARTED + self.rules.warm_within
+        ends = STARTED + self.rules.warm_up_time
         for n in range(len(self.managers)):
             self.at(STARTED - 100 * S, self.begin, n)
             self.at(STARTED + self.told_at(n), self.tell, n)
             if self.chance.random() < self.restarts:
-                self.at(STARTED + self.chance.randrange(self.rules.warm_within), self.begin, n, True)
+                self.at(STARTED + self.chance.randrange(self.rules.warm_up_time), self.begin, n, True)
             self.at(STARTED + self.chance.randrange(S), self.ask, n)
         while self.queue and self.queue[0][0] < ends:
             time, _, act, args = heapq.heappop(self.queue)
@@ -75,7 +79,7 @@
     def ask(self, time, n):
         ask = interface.SessionRequest(next(self.number), 0, 9, 5, 20_000, 2, 0, 3, 0, False, False)
         self.hand(time, n, ask)
-        mean = len(self.managers) / (DEMAND * self.allowed) * self.rules.fall_span
+        mean = len(self.managers) / (DEMAND * self.allowed) * self.rules.overload_window
         self.at(time + 1 + int(self.chance.expovariate(1 / mean)), self.ask, n)
 
     def alarm(self, time, n, life, token):
@@ -111,7 +115,7 @@
             with self.subTest(name, managers=managers, places=places):
                 fleet = Fleet(managers, places, **how)
                 sent = fleet.run()
-                self.assertLessEqual(busiest(sent, fleet.rules.fall_span), fleet.most())
+                self.assertLessEqual(busiest(sent, fleet.rules.overload_window), fleet.most())
                 # Of hundreds only some have a turn within a warm-up, and these may have nobody who waits.
                 self.assertTrue(sent or managers > 30)
 
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -81,7 +81,7 @@
         keys = [r["key"] for n in self.boxes for r in self.setups(n)]
         self.assertEqual((13, 13), (len(keys), len(set(keys))))
         self.assertEqual(13, sum(len(b.box.sessions) for b in self.boxes.values()))
-        self.assertEqual(13, len(front.runner.held))
+        self.assertEqual(13, len(front.runner.sessions))
         self.assertEqual((0, 0), (front.runner.faults, front.runner.overdue))
         self.assertEqual(probes, sum(len(self.box_rows[n].all("probed")) for n in self.boxes))
 
@@ -158,8 +158,8 @@
             (
                 terms.fleet.load_names,
                 terms.fleet.load_by_probe,
-                terms.fleet.weighed,
-                terms.allowed.probes,
+                terms.fleet.weights_known,
+                terms.allowed.may_probe,
                 terms.prices.probe,
             ),
         )
