--- a/flaxscale/wire.py
+++ b/flaxscale/wire.py
@@ -1,4 +1,4 @@
-"""Frames of the simulator's wire: bytes to records and back. Knows layouts and nothing of what they mean."""
+"""Framing of the simulator's protocol: decodes events from bytes and encodes actions, without interpreting them."""
 
 import struct
 
@@ -9,8 +9,9 @@
 ENTRY_FIELDS = ("type", "slotNo", "rating", "startTimeMs", "server", "area", "readiness")
 MAX_FRAME = 1 << 30
 
-# Layout letters are struct's; the tail, if any: "blob" is u32 n + n bytes, "floats" u8 n + n x f32,
-# "text" u16 n + n bytes, "entries" u32 n + n list entries.
+# Each event: {code: (name, layout, field names, tail)}. The layout is a struct format. The tail, if any, follows the
+# fixed fields: "blob" is u32 n + n bytes, "floats" u8 n + n x f32, "text" u16 n + n bytes, "entries" u32 n + n list
+# entries.
 EVENTS = {
     0: ("new_instance", "HQ", ("managerId", "rngSeed"), ("params", "blob")),
     1: ("registry", "HBQB", ("managerId", "scope", "gen", "setId"), None),
@@ -84,27 +85,28 @@
     "set_level": (76, "HIB", None),
     "redirect": (77, "HI", None),
 }
-EVENT_FIXED = {code: struct.Struct("<" + fmt) for code, (_, fmt, _, _) in EVENTS.items()}
-ACTION_FIXED = {name: struct.Struct("<" + fmt) for name, (_, fmt, _) in ACTIONS.items()}
+EVENT_FIXED = {code: struct.Struct("<" + layout) for code, (_, layout, _, _) in EVENTS.items()}
+ACTION_FIXED = {name: struct.Struct("<" + layout) for name, (_, layout, _) in ACTIONS.items()}
 
 
 class WireError(Exception):
-    """Bytes that are no frame of this wire; the text names what and where."""
+    """Malformed input. The message names the record or part and its byte offset."""
 
 
-def read_exactly(stream, n, what):
-    parts, got = [], 0
-    while got < n:
-        part = stream.read(n - got)
-        if not part:
-            raise WireError(f"input ends inside {what}: {got} of {n} bytes came")
-        parts.append(part)
-        got += len(part)
-    return b"".join(parts)
+def read_exactly(stream, count, what):
+    """So many bytes; what: names them in the error message."""
+    chunks, received = [], 0
+    while received < count:
+        chunk = stream.read(count - received)
+        if not chunk:
+            raise WireError(f"input ends inside {what}: {received} of {count} bytes came")
+        chunks.append(chunk)
+        received += len(chunk)
+    return b"".join(chunks)
 
 
 def read_frame(stream):
-    """The next frame's bytes, or None at a clean end of input."""
+    """The bytes of the next frame, or None where the input ends between frames."""
     first = stream.read(1)
     if not first:
         return None
@@ -115,63 +117,64 @@
     return head + read_exactly(stream, length - 4, f"a frame of {length} bytes")
 
 
-def tail_of(name, field, kind, body, at, where):
+def decode_tail(name, field, kind, body, offset, record_offset):
+    """The value of a record's tail, which begins at this offset of its body. record_offset: for error messages."""
     width = {"blob": 4, "text": 2, "floats": 1, "entries": 4}[kind]
     size = {"blob": 1, "text": 1, "floats": 4, "entries": ENTRY.size}[kind]
-    if at + width > len(body):
-        raise WireError(f"{name} at byte {where}: no room for the count of {field}")
-    n = int.from_bytes(body[at : at + width], "little")
-    rest = body[at + width : at + width + n * size]
-    if len(rest) != n * size:
-        raise WireError(f"{name} at byte {where}: {field} counts {n}, the record ends before that")
+    if offset + width > len(body):
+        raise WireError(f"{name} at byte {record_offset}: the record ends before the count of {field}")
+    count = int.from_bytes(body[offset : offset + width], "little")
+    payload = body[offset + width : offset + width + count * size]
+    if len(payload) != count * size:
+        raise WireError(f"{name} at byte {record_offset}: {field} counts {count}, the record ends before that")
     if kind == "floats":
-        return struct.unpack(f"<{n}f", rest)
+        return struct.unpack(f"<{count}f", payload)
     if kind == "entries":
-        return tuple(dict(zip(ENTRY_FIELDS, entry)) for entry in ENTRY.iter_unpack(rest))
-    return rest
+        return tuple(dict(zip(ENTRY_FIELDS, entry)) for entry in ENTRY.iter_unpack(payload))
+    return payload
 
 
 def decode(frame):
-    """(clock in ms, batch number, records); a record is (event name, dict of fields, its first byte).
+    """(clock in ms, batch number, records); a record is (event name, dict of fields, byte offset in the frame).
 
-    Unknown codes are passed over by their length, and so is what a known record holds beyond its fields.
+    Records of unknown codes are skipped, and so are bytes after the known fields of a record.
     """
     length, clock, number = BATCH_HEAD.unpack_from(frame)
     if length != len(frame):
-        raise WireError(f"frame says {length} bytes and has {len(frame)}")
-    records, at = [], BATCH_HEAD.size
-    while at < length:
-        if at + RECORD_HEAD.size > length:
-            raise WireError(f"batch {number}: the frame ends inside a record's head at byte {at}")
-        code, size = RECORD_HEAD.unpack_from(frame, at)
-        start, end = at + RECORD_HEAD.size, at + RECORD_HEAD.size + size
+        raise WireError(f"the frame header gives {length} bytes, the frame has {len(frame)}")
+    records, offset = [], BATCH_HEAD.size
+    while offset < length:
+        if offset + RECORD_HEAD.size > length:
+            raise WireError(f"batch {number}: the frame ends inside a record's header at byte {offset}")
+        code, size = RECORD_HEAD.unpack_from(frame, offset)
+        start, end = offset + RECORD_HEAD.size, offset + RECORD_HEAD.size + size
         if end > length:
             raise WireError(
-                f"batch {number}: the record of code {code} at byte {at} has {size} bytes, the frame ends before that"
+                f"batch {number}: the record of code {code} at byte {offset} has {size} bytes, more than the frame"
             )
         if code in EVENTS:
-            name, _, fields, tail = EVENTS[code]
+            name, _, field_names, tail = EVENTS[code]
             fixed, body = EVENT_FIXED[code], frame[start:end]
             if len(body) < fixed.size:
-                raise WireError(f"batch {number}: {name} at byte {at} has {size} bytes, needs {fixed.size}")
-            found = dict(zip(fields, fixed.unpack_from(body)))
+                raise WireError(f"batch {number}: {name} at byte {offset} has {size} bytes, needs {fixed.size}")
+            fields = dict(zip(field_names, fixed.unpack_from(body)))
             if tail:
-                found[tail[0]] = tail_of(name, *tail, body, fixed.size, at)
-            records.append((name, found, at))
-        at = end
+                fields[tail[0]] = decode_tail(name, *tail, body, fixed.size, offset)
+            records.append((name, fields, offset))
+        offset = end
     return clock, number, records
 
 
 def encode(number, actions):
-    """The reply to a batch; an action is (name, fields in wire order, with the tail's bytes last)."""
-    parts = []
-    for name, fields in actions:
+    """The reply to a batch; an action is (name, values in the order of its layout, the tail's bytes last)."""
+    chunks = []
+    for name, values in actions:
         code, _, tail = ACTIONS[name]
         if tail:
-            text = fields[-1][:65535]
-            body = ACTION_FIXED[name].pack(*fields[:-1]) + struct.pack("<H", len(text)) + text
+            text = values[-1][:65535]
+            body = ACTION_FIXED[name].pack(*values[:-1]) + struct.pack("<H", len(text)) + text
         else:
-            body = ACTION_FIXED[name].pack(*fields)
-        parts.append(RECORD_HEAD.pack(code, len(body)) + body)
-    joined = b"".join(parts)
-    return REPLY_HEAD.pack(len(parts), REPLY_HEAD.size + len(joined), number) + joined
+            body = ACTION_FIXED[name].pack(*values)
+        chunks.append(RECORD_HEAD.pack(code, len(body)) + body)
+    joined = b"".join(chunks)
+    return REPLY_HEAD.pack(len(chunks), REPLY_HEAD.size + len(joined), number) + joined
--- a/flaxscale/wirehost.py
+++ b/flaxscale/wirehost.py
@@ -1,6 +1,7 @@
-"""Hosts one Manager an instance on the simulator's wire: wire names to ours and back. Decides nothing.
+"""Runs Managers for the simulator, one for each instance: translates its events and their actions. Makes no decisions.
 
-Started by deploy/balancer.toml: batches on standard input, one reply each on standard output.
+Started by deploy/balancer.toml. Reads batches of events from standard input and writes a reply to each to standard
+output.
 """
 
 import json
@@ -10,7 +11,7 @@
 from .decide import Manager
 from .site.settings import NOTES, PEER_WORD, site_terms, span, tenths
 
-HOWS = {
+OUTCOMES = {
     0: interface.Outcome.OK,
     13: interface.Outcome.ERROR,
     8: interface.Outcome.FULL,
@@ -20,19 +21,24 @@
     1: interface.Outcome.CANCELLED,
     9: interface.Outcome.MOOT,
 }
-STATES = {0: interface.ServerStatus.GONE, 1: interface.ServerStatus.READY, 2: interface.ServerStatus.DRAINING}
-LISTS = {0: None, 1: interface.ListKind.FULL, 2: interface.ListKind.DELTA, 4: interface.ListKind.CACHED}
+SERVER_STATUSES = {0: interface.ServerStatus.GONE, 1: interface.ServerStatus.READY, 2: interface.ServerStatus.DRAINING}
+LIST_KINDS = {0: None, 1: interface.ListKind.FULL, 2: interface.ListKind.DELTA, 4: interface.ListKind.CACHED}
 ALL_PEERS = 0xFFFFFFFF
-MOVED, AGAIN, HINTED = 8, 16, 1
+# Bits of a request's bitmap
+MOVED = 8
+RETRY = 16
+LENGTH_KNOWN = 1
 
 
-def known(table, code, what, where):
+def lookup(table, code, what, offset):
+    """The table's value for a code; WireError names an unknown one by what it stands for and its record's offset."""
     if code not in table:
-        raise wire.WireError(f"{what} {code} at byte {where} is none that this wire knows")
+        raise wire.WireError(f"{what} {code} at byte {offset} is unknown")
     return table[code]
 
 
-def listed(row, where):
+def server_entry(row, offset):
+    """A list entry of the wire as a ServerEntry."""
     return interface.ServerEntry(
         row["server"],
         row["type"],
@@ -40,11 +46,12 @@
         row["area"],
         row["rating"],
         tenths(row["startTimeMs"]),
-        known(STATES, row["readiness"], "readiness", where),
+        lookup(SERVER_STATUSES, row["readiness"], "readiness", offset),
     )
 
 
-def asked(row):
+def session_request(row):
+    """A request or running session of the wire as a SessionRequest."""
     return interface.SessionRequest(
         row["id"],
         row["priority"],
@@ -54,29 +61,29 @@
         round(row["topRung"]),
         round(row["fromCell"]),
         round(row["cellsInRow"]),
-        tenths(row["workMs"]) if row["bitmap"] & HINTED else 0,
+        tenths(row["workMs"]) if row["bitmap"] & LENGTH_KNOWN else 0,
         bool(row["bitmap"] & MOVED),
-        bool(row["bitmap"] & AGAIN),
+        bool(row["bitmap"] & RETRY),
     )
 
 
-def event_of(name, row, where, lists):
-    """One wire record in our words."""
+def decode_event(name, row, offset, lists):
+    """One record of the wire as an event; None where it has no meaning for a Manager."""
     if name == "knock":
-        return asked(row)
+        return session_request(row)
     if name == "preexisting":
-        return interface.SessionHandedOver(asked(row), row["server"])
+        return interface.SessionHandedOver(session_request(row), row["server"])
     if name == "headers":
         return interface.AttemptSucceeded(row["id"], row["copy"], row["server"], tenths(row["elapsedMs"]))
     if name == "progress":
-        kind = NOTES.get(row["sort"])  # a kind of note that we don't know yet tells us nothing
+        kind = NOTES.get(row["sort"])  # unknown kinds of notes are ignored
         return kind and interface.PlaybackNote(row["id"], row["copy"], row["server"], kind, row["amount"])
     if name == "completed":
         return interface.AttemptEnded(
             row["id"],
             row["copy"],
             row["server"],
-            known(HOWS, row["stateCode"], "outcome", where),
+            lookup(OUTCOMES, row["stateCode"], "outcome", offset),
             tenths(row["elapsedMs"]),
             bool(row["ended"]),
             row["usage"],
@@ -87,98 +94,101 @@
         return interface.TimerFired(row["tag"])
     if name == "health_result":
         return interface.ProbeEnded(
-            row["server"], known(HOWS, row["stateCode"], "outcome", where), tenths(row["elapsedMs"]), row["usage"]
+            row["server"], lookup(OUTCOMES, row["stateCode"], "outcome", offset), tenths(row["elapsedMs"]), row["usage"]
         )
     if name == "neighbour_says":
-        if len(row["msg"]) != PEER_WORD.size:  # a word of another version tells us nothing
+        if len(row["msg"]) != PEER_WORD.size:  # a peer message of another version is ignored
             return None
         return interface.PeerLoadChange(row["from"], *PEER_WORD.unpack(row["msg"]))
-    kind = known(LISTS, row["scope"], "list scope", where)
-    if kind is None:  # a call for the list failed, and the old one stands; none is made where changes are pushed
+    kind = lookup(LIST_KINDS, row["scope"], "list scope", offset)
+    if kind is None:  # a request for the list failed, the old list stays valid; with pushed changes none is made
         return None
     if row["setId"] not in lists:
-        raise wire.WireError(f"registry at byte {where} names list {row['setId']}, which never came")
+        raise wire.WireError(f"registry at byte {offset} names list {row['setId']}, which was not sent")
     return interface.ServerListUpdate(kind, lists[row["setId"]])
 
 
-def wire_action(me, act):
-    """One of our actions as the wire names it."""
-    if isinstance(act, interface.TuneIn):
-        return "attempt", (me, act.id, act.server, act.expire_at / 10)
-    if isinstance(act, interface.SetRung):
-        return "set_level", (me, act.id, act.rung)
-    if isinstance(act, interface.Block):
-        return "turn_away", (me, act.id, act.hold_off / 10)
-    if isinstance(act, interface.Abort):
-        return "lose", (me, act.id)
-    if isinstance(act, interface.CallOff):
-        return "stop_attempt", (me, act.id, act.nth)
-    if isinstance(act, interface.Move):
-        return "redirect", (me, act.id)
-    if isinstance(act, interface.Remind):
-        return "remind", (me, act.token, act.after / 10)
-    if isinstance(act, interface.Probe):
-        return "inspect", (me, act.server)
-    if isinstance(act, interface.TellPeers):
-        return "memo_to", (me, ALL_PEERS, PEER_WORD.pack(act.server, act.kb))
-    return "log", (me, act.text.encode())
+def encode_action(manager_id, action):
+    """An action as (name, values) of the wire."""
+    if isinstance(action, interface.TuneIn):
+        return "attempt", (manager_id, action.id, action.server, action.expire_at / 10)
+    if isinstance(action, interface.SetRung):
+        return "set_level", (manager_id, action.id, action.rung)
+    if isinstance(action, interface.Block):
+        return "turn_away", (manager_id, action.id, action.hold_off / 10)
+    if isinstance(action, interface.Abort):
+        return "lose", (manager_id, action.id)
+    if isinstance(action, interface.CallOff):
+        return "stop_attempt", (manager_id, action.id, action.nth)
+    if isinstance(action, interface.Move):
+        return "redirect", (manager_id, action.id)
+    if isinstance(action, interface.Remind):
+        return "remind", (manager_id, action.token, action.after / 10)
+    if isinstance(action, interface.Probe):
+        return "inspect", (manager_id, action.server)
+    if isinstance(action, interface.TellPeers):
+        return "memo_to", (manager_id, ALL_PEERS, PEER_WORD.pack(action.server, action.kb))
+    return "log", (manager_id, action.text.encode())
 
 
 class Host:
-    """All instances of one process; they share nothing but the numbered lists of the wire."""
+    """All instances of one process. They share only the server lists, which the wire numbers."""
 
     def __init__(self):
         self.managers = {}
         self.lists = {}
 
-    def start(self, row, where):
+    def start(self, row, offset):
+        """A Manager with the settings of a new_instance record."""
         try:
             terms = site_terms(json.loads(row["params"]), row["rngSeed"])
-        except KeyError as lack:
-            raise wire.WireError(f"new_instance at byte {where}: the settings lack the key {lack}") from lack
-        except (ValueError, TypeError, IndexError, AttributeError) as bad:
-            raise wire.WireError(f"new_instance at byte {where}: unreadable settings: {bad}") from bad
+        except KeyError as error:
+            raise wire.WireError(f"new_instance at byte {offset}: the settings lack the key {error}") from error
+        except (ValueError, TypeError, IndexError, AttributeError) as error:
+            raise wire.WireError(f"new_instance at byte {offset}: unreadable settings: {error}") from error
         return Manager(terms)
 
     def batch(self, frame):
         """The reply to one frame."""
         clock, number, records = wire.decode(frame)
-        now, out = tenths(clock), []
-        for name, row, where in records:
+        now, actions = tenths(clock), []
+        for name, row, offset in records:
             if name == "list":
-                self.lists[row["setId"]] = tuple(listed(entry, where) for entry in row["items"])
+                self.lists[row["setId"]] = tuple(server_entry(entry, offset) for entry in row["items"])
                 continue
-            me = row["managerId"]
-            if name != "new_instance" and me not in self.managers:
-                raise wire.WireError(f"{name} at byte {where} is for instance {me}, which does not exist")
+            manager_id = row["managerId"]
+            if name != "new_instance" and manager_id not in self.managers:
+                raise wire.WireError(f"{name} at byte {offset} is for instance {manager_id}, which does not exist")
             if name == "crash_now":
-                del self.managers[me]
-                out = [act for act in out if act[1][0] != me]
+                del self.managers[manager_id]
+                actions = [action for action in actions if action[1][0] != manager_id]
                 continue
             try:
                 if name == "new_instance":
-                    self.managers[me] = self.start(row, where)
+                    self.managers[manager_id] = self.start(row, offset)
                     continue
-                event = event_of(name, row, where, self.lists)
+                event = decode_event(name, row, offset, self.lists)
                 if event is not None:
-                    out += [wire_action(me, act) for act in self.managers[me].handle(now, event)]
+                    actions += [
+                        encode_action(manager_id, action) for action in self.managers[manager_id].handle(now, event)
+                    ]
             except wire.WireError:
                 raise
-            except Exception as fault:  # the day must end with its cause in the report, whatever it was
-                out.append(("give_in", (me, f"{name}: {type(fault).__name__}: {fault}".encode())))
-        return wire.encode(number, out)
+            except Exception as error:  # whatever it is, the simulator's report must name the cause
+                actions.append(("give_in", (manager_id, f"{name}: {type(error).__name__}: {error}".encode())))
+        return wire.encode(number, actions)
 
 
 def main():
-    host, count = Host(), 0
+    host, frame_number = Host(), 0
     source, sink = sys.stdin.buffer, sys.stdout.buffer
     try:
         while (frame := wire.read_frame(source)) is not None:
             sink.write(host.batch(frame))
             sink.flush()
-            count += 1
-    except wire.WireError as bad:
-        print(f"wirehost: frame {count}: {bad}", file=sys.stderr)
+            frame_number += 1
+    except wire.WireError as error:
+        print(f"wirehost: frame {frame_number}: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/tests/drive.py
+++ b/tests/drive.py
@@ -1,4 +1,4 @@
-"""A small made-up site and a manager driven by hand; its decisions are compared with a kept trace."""
+"""A small site and a manager that tests feed events by hand. Its actions are compared with a stored trace."""
 
 import difflib
 import os
@@ -8,11 +8,12 @@
 from flaxscale import interface
 from flaxscale.decide import Manager
 
-S = 10_000  # a second
+S = 10_000  # a second, in tenths of a millisecond
 TRACES = pathlib.Path(__file__).parent / "traces"
 
 
 def pack(**changes):
+    """A package with these fields changed."""
     row = dict(
         join_target=15_000,
         value=1.0,
@@ -73,15 +74,15 @@
 
 
 class Drive(unittest.TestCase):
-    """Subclasses call start, then at(...) with events; compare() ends the test."""
+    """Tests of subclasses call start(), then at() with events, and end with compare()."""
 
     def setUp(self):
         self.lines = []
 
     def start(self, *packages, warm=True, servers=3, quiet=False, **terms):
-        self.manager, self.alarms, self.now, self.quiet = Manager(site(packages, **terms)), [], 100 * S, quiet
+        self.manager, self.timers, self.now, self.quiet = Manager(site(packages, **terms)), [], 100 * S, quiet
         self.at(0, self.list(*range(1, servers + 1)))
-        if warm:  # old enough to trust its list
+        if warm:  # so long after its start that the manager trusts the server list
             self.at(20 * S)
 
     def list(self, *servers, kind=interface.ListKind.CACHED, state=interface.ServerStatus.READY, started_at=0):
@@ -93,60 +94,69 @@
         return interface.SessionRequest(id, package, title, id, left, top, first, cells, hint, False, False)
 
     def at(self, later, *events, say="", stands=False):
-        """Moves the clock on (the alarms between ring first, or all at the end) and hands the events over."""
+        """Moves the clock on and handles the events. Timers due meanwhile fire at their time first.
+
+        say: a comment line for the trace. stands: the manager stalls, and the timers fire at the end.
+        """
         until = self.now + later
         if stands:
             self.now = until
-        while self.alarms and min(self.alarms)[0] <= until:
-            due = min(self.alarms)
-            self.alarms.remove(due)
-            self.now = max(self.now, due[0])
-            self.tell(interface.TimerFired(due[1]))
+        while self.timers and min(self.timers)[0] <= until:
+            timer = min(self.timers)
+            self.timers.remove(timer)
+            self.now = max(self.now, timer[0])
+            self.handle(interface.TimerFired(timer[1]))
         self.now = until
         if say:
             self.lines.append(f"-- {say}")
         for event in events:
-            self.tell(event)
+            self.handle(event)
 
-    def tell(self, event):
-        for act in self.manager.handle(self.now, event):
-            if isinstance(act, interface.Remind):
-                self.alarms.append((self.now + act.after, act.token))
+    def handle(self, event):
+        """Gives the manager an event, starts the timers that it asks for and adds its other actions to the trace."""
+        for action in self.manager.handle(self.now, event):
+            if isinstance(action, interface.Remind):
+                self.timers.append((self.now + action.after, action.token))
                 continue
             if self.quiet:
                 continue
-            name, said = type(act).__name__, dict(act._asdict())
-            if "expire_at" in said:
-                said["for"] = said.pop("expire_at") - self.now
-            told = " ".join(f"{key}={value}" for key, value in said.items())
-            self.lines.append(f"{(self.now - 100 * S) / S:7.2f} {name} {told}")
+            name, fields = type(action).__name__, dict(action._asdict())
+            if "expire_at" in fields:
+                fields["for"] = fields.pop("expire_at") - self.now
+            text = " ".join(f"{key}={value}" for key, value in fields.items())
+            self.lines.append(f"{(self.now - 100 * S) / S:7.2f} {name} {text}")
 
     def begun(self, id, server, nth=0):
         return interface.AttemptSucceeded(id, nth, server, 1_000)
 
-    def ended(self, id, server, how, nth=0, over=False, load=()):
-        return interface.AttemptEnded(id, nth, server, how, 1_000, over, load)
+    def ended(self, id, server, outcome, nth=0, over=False, load=()):
+        return interface.AttemptEnded(id, nth, server, outcome, 1_000, over, load)
 
     def looked(self, server, link, uplink=0.1, streams=5.0):
+        """The answer to a probe."""
         return interface.ProbeEnded(server, interface.Outcome.OK, 30, (streams, link, uplink))
 
     def link(self, id, server, amount):
+        """A note on the use of a server's link."""
         return interface.PlaybackNote(id, 0, server, interface.NoteKind.LINK, amount)
 
     def handed(self, id, server, rung=0, **ask):
+        """Events that hand over a session which plays at this server and rung."""
         return (
             interface.SessionHandedOver(self.ask(id, **ask), server),
             interface.PlaybackNote(id, 0, server, interface.NoteKind.RUNG, float(rung)),
         )
 
     def plays(self, *ids, server=1, rung=2):
+        """Hands over sessions that play at this server and rung."""
         for id in ids:
             self.at(0, *self.handed(id, server, rung))
 
     def compare(self):
+        """Compares the trace with the stored one of this test. With FLAXSCALE_KEEP set, it is stored first."""
         path = TRACES / f"{self._testMethodName.removeprefix('test_')}.txt"
         if os.environ.get("FLAXSCALE_KEEP"):
             path.write_text("\n".join(self.lines) + "\n")
-        kept = path.read_text().splitlines()
-        diff = list(difflib.unified_diff(kept, self.lines, "kept", "now", lineterm=""))
+        expected = path.read_text().splitlines()
+        diff = list(difflib.unified_diff(expected, self.lines, "expected", "now", lineterm=""))
         self.assertFalse(diff, "\n" + "\n".join(diff))
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -1,4 +1,4 @@
-"""The host on whole batches: lists in order, restarts, plain words on bad input."""
+"""The simulator's host on whole batches: server lists in order, restarts, error messages for bad input."""
 
 import json
 import struct
@@ -66,8 +66,8 @@
 }
 
 
-def record(code, fmt, *fields, tail=b""):
-    body = struct.pack("<" + fmt, *fields) + tail
+def record(code, layout, *fields, tail=b""):
+    body = struct.pack("<" + layout, *fields) + tail
     return struct.pack("<BI", code, len(body)) + body
 
 
@@ -80,7 +80,7 @@
     return record(12, "B", 0, tail=struct.pack("<IBHfdIHB", 1, 0, 0, 1.0, 0.0, server, 0, 1))
 
 
-REGISTRY = record(1, "HBQB", 3, 4, 1, 0)
+LIST_UPDATE = record(1, "HBQB", 3, 4, 1, 0)
 
 
 def knock(id, left=200.0):
@@ -93,37 +93,47 @@
 
 
 class Batches(unittest.TestCase):
-    def sent(self, reply):
+    def actions_of(self, reply):
         """(code, first fields) of each action of a reply."""
-        at, acts = 12, []
-        while at < len(reply):
-            code, size = struct.unpack_from("<BI", reply, at)
-            acts.append((code, struct.unpack_from("<HI", reply, at + 5)[1]))
-            at += 5 + size
-        return acts
-
-    def test_a_list_number_used_again_inside_a_batch_and_a_restart(self):
+        offset, actions = 12, []
+        while offset < len(reply):
+            code, size = struct.unpack_from("<BI", reply, offset)
+            actions.append((code, struct.unpack_from("<HI", reply, offset + 5)[1]))
+            offset += 5 + size
+        return actions
+
+    def test_a_list_number_reused_in_a_batch_and_a_restart(self):
         host = wirehost.Host()
         reply = host.batch(
-            frame(init(), listed(11), REGISTRY, knock(1), record(9, "H", 3), init(), listed(12), REGISTRY, knock(2))
+            frame(
+                init(),
+                listed(11),
+                LIST_UPDATE,
+                knock(1),
+                record(9, "H", 3),
+                init(),
+                listed(12),
+                LIST_UPDATE,
+                knock(2),
+            )
         )
-        # What the killed one wanted is dropped; 68 is the beat.
-        self.assertEqual([(68, 1), (76, 2), (64, 2)], self.sent(reply))
+        # Actions of the instance that crashed are dropped. Code 68 is the reminder of its regular check.
+        self.assertEqual([(68, 1), (76, 2), (64, 2)], self.actions_of(reply))
         self.assertEqual([12], list(host.managers[3].servers))
 
-    def test_bad_input_is_named(self):
-        lacking = {key: value for key, value in PARAMS.items() if key != "caps"}
-        for records, said in (
+    def test_errors_name_the_bad_input(self):
+        incomplete = {key: value for key, value in PARAMS.items() if key != "caps"}
+        for records, message in (
             ([init(b"{no json")], "unreadable settings"),
-            ([init(lacking)], "lack the key 'caps'"),
+            ([init(incomplete)], "lack the key 'caps'"),
             ([knock(1)], "for instance 3, which does not exist"),
-            ([init(), REGISTRY], "names list 0, which never came"),
+            ([init(), LIST_UPDATE], "names list 0, which was not sent"),
         ):
-            with self.assertRaisesRegex(wire.WireError, said):
+            with self.assertRaisesRegex(wire.WireError, message):
                 wirehost.Host().batch(frame(*records))
 
-    def test_a_fault_of_the_module_is_given_in_with_its_text(self):
+    def test_an_exception_in_the_manager_ends_the_instance_with_its_text(self):
         host = wirehost.Host()
-        host.batch(frame(init(), listed(11), REGISTRY))
+        host.batch(frame(init(), listed(11), LIST_UPDATE))
         host.managers[3].handle = lambda now, event: 1 / 0
         self.assertIn(b"knock: ZeroDivisionError: division by zero", host.batch(frame(knock(1))))
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -1,4 +1,4 @@
-"""The core runner on a virtual clock: what it lets through, what it ends, what it counts as a fault."""
+"""The runner on a virtual clock: which calls it makes of its port, and which actions it counts as faults."""
 
 import unittest
 
@@ -9,180 +9,180 @@
 
 
 class Port:
-    """A world without sockets: what the runner wants is noted, its clock is set by hand."""
+    """A port without sockets: records the runner's calls, and its clock is set by the test."""
 
     def __init__(self):
-        self.clock, self.did, self.alarm, self.sends = 100 * S, [], None, True
+        self.clock, self.calls, self.wake_time, self.was_sent = 100 * S, [], None, True
 
     def now(self):
         return self.clock
 
     def wake_at(self, at):
-        self.alarm = at
+        self.wake_time = at
 
     def start_attempt(self, id, nth, server, rung, left):
-        self.did.append(("tune_in", id, nth, server, rung, left))
+        self.calls.append(("start_attempt", id, nth, server, rung, left))
 
     def abandon_attempt(self, id, nth, server):
-        self.did.append(("abandon", id, nth))
-        return self.sends
+        self.calls.append(("abandon_attempt", id, nth))
+        return self.was_sent
 
     def end_session(self, id, nth, server):
-        self.did.append(("end", id, nth, server))
+        self.calls.append(("end_session", id, nth, server))
 
     def set_rung(self, id, nth, server, rung):
-        self.did.append(("set_rung", id, server, rung))
+        self.calls.append(("set_rung", id, server, rung))
 
     def answer(self, id, answer):
-        self.did.append(("answer", id, answer.kind, answer.outcome))
+        self.calls.append(("answer", id, answer.kind, answer.outcome))
 
     def tell_peers(self, server, kb):
-        self.did.append(("tell", server))
+        self.calls.append(("tell_peers", server))
 
     def probe(self, server):
-        self.did.append(("probe", server))
+        self.calls.append(("probe", server))
 
     def log(self, text):
-        self.did.append(("log", text))
+        self.calls.append(("log", text))
 
 
-class Virtual(unittest.TestCase):
+class RunnerOnVirtualClock(unittest.TestCase):
     def start(self, **terms):
         self.port, self.events = Port(), []
         self.runner = Runner(
             site([terms.pop("pack", None) or pack()], **terms),
             self.port,
-            lambda now, event, acts: self.events.append(event),
+            lambda now, event, actions: self.events.append(event),
         )
         self.runner.server_list_changed(
             ListKind.FULL, [interface.ServerEntry(n, 0, (n - 1) % 3, 0, 1.0, 0, ServerStatus.READY) for n in (1, 2)]
         )
-        self.until(100 * S + 20 * S)
+        self.run_until(100 * S + 20 * S)
 
-    def until(self, time):
-        while self.port.alarm is not None and self.port.alarm <= time:
-            self.port.clock, self.port.alarm = max(self.port.clock, self.port.alarm), None
+    def run_until(self, time):
+        while self.port.wake_time is not None and self.port.wake_time <= time:
+            self.port.clock, self.port.wake_time = max(self.port.clock, self.port.wake_time), None
             self.runner.tick()
         self.port.clock = time
 
-    def later(self, tenths):
-        self.until(self.port.clock + tenths)
+    def advance(self, tenths):
+        self.run_until(self.port.clock + tenths)
 
-    def ask(self, id=1, left=30_000):
+    def request(self, id=1, left=30_000):
         self.runner.session_requested(interface.SessionRequest(id, 0, 9, id, left, 2, 0, 3, 0, False, False))
-        self.later(600)
+        self.advance(600)
 
-    def did(self, name):
-        return [row for row in self.port.did if row[0] == name]
+    def calls(self, name):
+        return [row for row in self.port.calls if row[0] == name]
 
-    def test_a_viewing_from_its_request_to_its_end(self):
+    def test_a_session_from_its_request_to_its_end(self):
         self.start()
-        self.ask()
-        ((_, id, nth, server, rung, left),) = self.did("tune_in")
+        self.request()
+        ((_, id, nth, server, rung, left),) = self.calls("start_attempt")
         self.assertTrue(self.runner.attempt_succeeded(1, 0, 200, [(NoteKind.LINK, 0.4)]))
-        self.assertEqual([("answer", 1, AnswerKind.PLAYS, None)], self.did("answer"))
+        self.assertEqual([("answer", 1, AnswerKind.PLAYS, None)], self.calls("answer"))
         self.assertEqual([interface.AttemptSucceeded, interface.PlaybackNote], [type(e) for e in self.events[-2:]])
         self.assertTrue(self.runner.attempt_ended(1, 0, Outcome.OK, 5 * S))
         self.assertFalse(self.runner.attempt_ended(1, 0, Outcome.OK, 5 * S))
         self.assertEqual(({}, {}), (self.runner.sessions, self.runner.manager.viewings))
 
-    def test_silence_expires_and_the_next_box_gets_its_chance(self):
+    def test_an_unanswered_attempt_times_out_and_another_server_is_tried(self):
         self.start()
-        self.ask()
-        self.later(10_000)
-        self.assertEqual([0, 1], [row[2] for row in self.did("tune_in")][:2])
-        self.assertEqual(("abandon", 1, 0), self.did("abandon")[0])
-        self.assertFalse(self.runner.attempt_succeeded(1, 0, 9000))  # too late: its owner must end it there
+        self.request()
+        self.advance(10_000)
+        self.assertEqual([0, 1], [row[2] for row in self.calls("start_attempt")][:2])
+        self.assertEqual(("abandon_attempt", 1, 0), self.calls("abandon_attempt")[0])
+        self.assertFalse(self.runner.attempt_succeeded(1, 0, 9000))  # too late: the caller must end it at the server
         self.assertEqual(Outcome.TIMEOUT, next(e.outcome for e in self.events if isinstance(e, interface.AttemptEnded)))
 
-    def test_what_never_left_us_never_ran_so_that_an_unsafe_one_may_be_blocked(self):
-        for sends, fate, how in (
+    def test_an_unsafe_attempt_that_was_never_sent_may_be_blocked(self):
+        for was_sent, kind, outcome in (
             (True, AnswerKind.ABORTED, Outcome.TIMEOUT),
             (False, AnswerKind.BLOCKED, Outcome.UNREACHED),
         ):
             self.start(pack=pack(effect="unsafe"))
-            self.port.sends = sends
-            self.ask()
-            self.later(30_000)
-            self.assertEqual([("answer", 1, fate, how)], self.did("answer"))
+            self.port.was_sent = was_sent
+            self.request()
+            self.advance(30_000)
+            self.assertEqual([("answer", 1, kind, outcome)], self.calls("answer"))
 
-    def test_a_client_that_leaves_at_each_step(self):
+    def test_a_client_that_leaves_in_each_phase(self):
         for step in ("waits", "out", "plays"):
             self.start()
             self.runner.session_requested(interface.SessionRequest(1, 0, 9, 1, 30_000, 2, 0, 3, 0, False, False))
             if step != "waits":
-                self.later(600)
+                self.advance(600)
             if step == "plays":
                 self.runner.attempt_succeeded(1, 0, 10)
             self.runner.client_left(1)
-            self.later(30_000)
-            self.assertEqual({"waits": 0, "out": 1, "plays": 1}[step], len(self.did("tune_in")), step)
+            self.advance(30_000)
+            self.assertEqual({"waits": 0, "out": 1, "plays": 1}[step], len(self.calls("start_attempt")), step)
             self.assertEqual(
-                {"waits": [], "out": ["abandon"], "plays": ["end"]}[step],
-                [row[0] for row in self.port.did if row[0] in ("abandon", "end")],
+                {"waits": [], "out": ["abandon_attempt"], "plays": ["end_session"]}[step],
+                [row[0] for row in self.port.calls if row[0] in ("abandon_attempt", "end_session")],
             )
-            self.assertEqual(1, len(self.did("answer")))
+            self.assertEqual(1, len(self.calls("answer")))
             self.assertEqual(({}, {}), (self.runner.sessions, self.runner.manager.viewings), step)
 
-    def test_a_client_that_left_where_nothing_can_be_called_off(self):
+    def test_a_client_that_leaves_where_attempts_cannot_be_cancelled(self):
         self.start()
         self.runner.manager.allowed = self.runner.manager.allowed._replace(may_cancel=False)
-        self.ask()
+        self.request()
         self.runner.client_left(1)
-        self.assertEqual([], self.did("abandon"))
+        self.assertEqual([], self.calls("abandon_attempt"))
         self.assertTrue(self.runner.attempt_succeeded(1, 0, 700))
-        self.assertEqual([("end", 1, 0, self.did("tune_in")[0][3])], self.did("end"))
-        self.assertEqual([AnswerKind.LEFT], [row[2] for row in self.did("answer")])
+        self.assertEqual([("end_session", 1, 0, self.calls("start_attempt")[0][3])], self.calls("end_session"))
+        self.assertEqual([AnswerKind.LEFT], [row[2] for row in self.calls("answer")])
         self.assertEqual(({}, {}), (self.runner.sessions, self.runner.manager.viewings))
 
-    def test_a_module_that_asks_for_what_it_may_not_is_a_fault_and_changes_nothing(self):
+    def test_an_impossible_action_is_a_fault_and_changes_nothing(self):
         self.start()
-        self.ask()
-        before = list(self.port.did)
-        self.runner.tune_in(interface.TuneIn(1, 2, self.port.clock + 5))  # one is out
-        self.runner.tune_in(interface.TuneIn(77, 2, self.port.clock + 5))  # never asked for
+        self.request()
+        before = list(self.port.calls)
+        self.runner.tune_in(interface.TuneIn(1, 2, self.port.clock + 5))  # an attempt is pending
+        self.runner.tune_in(interface.TuneIn(77, 2, self.port.clock + 5))  # there is no such session
         self.runner.attempt_succeeded(1, 0, 10)
         self.runner.block(interface.Block(1, 0))  # it plays
         self.assertEqual(3, self.runner.faults)
-        self.assertEqual(len(before) + 4, len(self.port.did))  # three lines of log and one answer
+        self.assertEqual(len(before) + 4, len(self.port.calls))  # three log lines and one answer
         with self.assertRaises(ValueError):
             self.runner.session_requested(interface.SessionRequest(1, 0, 9, 1, 30_000, 2, 0, 3, 0, False, False))
 
-    def test_a_module_that_never_answers_is_answered_for(self):
+    def test_a_request_without_a_decision_is_aborted_at_its_deadline(self):
         self.start()
         self.runner.manager.seat = lambda vw: None
-        self.ask()
-        self.later(30_000)
-        self.assertEqual([("answer", 1, AnswerKind.ABORTED, None)], self.did("answer"))
+        self.request()
+        self.advance(30_000)
+        self.assertEqual([("answer", 1, AnswerKind.ABORTED, None)], self.calls("answer"))
         self.assertEqual((1, {}), (self.runner.overdue, self.runner.sessions))
 
-    def test_what_is_handed_over_plays_and_takes_orders(self):
+    def test_a_session_handed_over_plays_and_takes_actions(self):
         self.start()
         self.runner.session_handed_over(interface.SessionRequest(5, 0, 9, 5, 30_000, 2, 0, 3, 0, False, False), 1, 2)
         self.assertIs(Phase.PLAYS, self.runner.sessions[5].phase)
         self.runner.playback_note(5, NoteKind.LINK, 3.0)
-        self.assertEqual([("set_rung", 5, 1, 1)], self.did("set_rung"))
+        self.assertEqual([("set_rung", 5, 1, 1)], self.calls("set_rung"))
         self.runner.client_left(5)
-        self.assertEqual([("end", 5, 0, 1)], self.did("end"))
+        self.assertEqual([("end_session", 5, 0, 1)], self.calls("end_session"))
 
     def test_the_same_events_give_the_same_actions(self):
         traces = []
         for _ in range(2):
             self.start(seed=11)
             for n in range(1, 30):
-                self.ask(n)
+                self.request(n)
                 if n % 3:
                     self.runner.attempt_succeeded(n, 0, 50, [(NoteKind.LINK, 0.1 * n)])
                 if n % 5 == 0:
                     self.runner.client_left(n)
-            self.later(40_000)
-            traces.append(self.port.did)
+            self.advance(40_000)
+            traces.append(self.port.calls)
         self.assertEqual(*traces)
 
-    def test_a_probe_goes_out_and_its_answer_is_heard(self):
+    def test_a_probe_is_sent_and_its_answer_reaches_the_manager(self):
         self.start(probes=True)
         self.runner.session_requested(interface.SessionRequest(1, 0, 9, 1, 30_000, 2, 0, 3, 0, False, False))
-        self.assertEqual({("probe", 1), ("probe", 2)}, {d for d in self.port.did if d[0] == "probe"})
+        self.assertEqual({("probe", 1), ("probe", 2)}, {d for d in self.port.calls if d[0] == "probe"})
         self.runner.probe_ended(1, Outcome.TIMEOUT, 2_500)
         self.runner.probe_ended(2, Outcome.OK, 30, (5.0, 0.2, 0.1))
         self.assertEqual(
@@ -190,8 +190,8 @@
             tuple(srv.link.heard_at and srv.link.base for srv in map(self.runner.manager.servers.get, (2, 1))),
         )
 
-    def test_every_action_has_somewhere_to_go(self):
-        """An action type without an entry would fail in service only when the module first wants it."""
+    def test_every_action_has_a_handler(self):
+        """An action type without a handler would fail only when a manager first uses it in service."""
         actions = {
             interface.TuneIn,
             interface.SetRung,
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,19 +1,19 @@
-"""The codec against the wire page's example frames, written out as bytes."""
+"""The codec on the example frames of the protocol's specification, as bytes."""
 
 import io
 import unittest
 
 from flaxscale import wire
 
-EMPTY = bytes.fromhex("10000000 00000000206ec040 01000000")
-THREE = bytes.fromhex(
+EMPTY_BATCH = bytes.fromhex("10000000 00000000206ec040 01000000")
+THREE_RECORDS = bytes.fromhex(
     "68000000 00000000206ec040 0c000000"
     "02 39000000 0300 c4913a5d 0000000000002840 00004040 0000 01 107cf3d901648e2b 640ad2557c3bf091"
     "0000000000006e40 00000000 00000040 00000000"
     "06 0a000000 0300 4d00000000000000"
     "05 06000000 0500 192b6f0e"
 )
-LISTED = bytes.fromhex(
+LIST_BATCH = bytes.fromhex(
     "57000000 00000000206ec040 02000000"
     "0c 31000000 00 02000000 00 0000 0000803f 0000000000000000 074a1203 0000 01"
     "00 0000 0000c03f 0000000000d4b740 f211902c 0100 01"
@@ -29,33 +29,39 @@
 
 class Frames(unittest.TestCase):
     def test_empty_batch_and_its_reply(self):
-        self.assertEqual(wire.decode(EMPTY), (8412.25, 1, []))
+        self.assertEqual(wire.decode(EMPTY_BATCH), (8412.25, 1, []))
         self.assertEqual(wire.encode(1, []), bytes.fromhex("00000000 0c000000 01000000"))
 
     def test_three_records_in_order(self):
-        clock, number, records = wire.decode(THREE)
+        clock, number, records = wire.decode(THREE_RECORDS)
         self.assertEqual(
-            (clock, number, [(n, f["managerId"]) for n, f, _ in records]),
+            (clock, number, [(name, fields["managerId"]) for name, fields, _ in records]),
             (8412.25, 12, [("knock", 3), ("timer", 3), ("expired", 5)]),
         )
-        knock = records[0][1]
+        request = records[0][1]
         self.assertEqual(
             (
-                knock["id"],
-                knock["workMs"],
-                knock["cellsInRow"],
-                knock["bitmap"],
-                knock["graceMs"],
-                knock["topRung"],
-                knock["programme"],
+                request["id"],
+                request["workMs"],
+                request["cellsInRow"],
+                request["bitmap"],
+                request["graceMs"],
+                request["topRung"],
+                request["programme"],
             ),
             (0x5D3A91C4, 12.0, 3.0, 1, 240.0, 2.0, 0x2B8E6401D9F37C10),
         )
 
     def test_list_entries(self):
-        name, fields, _ = wire.decode(LISTED)[2][0]
+        name, fields, _ = wire.decode(LIST_BATCH)[2][0]
         self.assertEqual(
-            (name, [(e["server"], e["rating"], e["startTimeMs"], e["area"], e["readiness"]) for e in fields["items"]]),
+            (
+                name,
+                [
+                    (entry["server"], entry["rating"], entry["startTimeMs"], entry["area"], entry["readiness"])
+                    for entry in fields["items"]
+                ],
+            ),
             ("list", [(0x03124A07, 1.0, 0.0, 0, 1), (0x2C9011F2, 1.5, 6100.0, 1, 1)]),
         )
 
@@ -72,21 +78,21 @@
             ),
         )
 
-    def test_unknown_codes_are_passed_over_by_their_length(self):
+    def test_unknown_codes_are_skipped(self):
         frame = bytes.fromhex("20000000 00000000206ec040 01000000 fe 02000000 ffff 09 02000000 0300")
         frame = len(frame).to_bytes(4, "little") + frame[4:]
-        self.assertEqual([n for n, _, _ in wire.decode(frame)[2]], ["crash_now"])
+        self.assertEqual([name for name, _, _ in wire.decode(frame)[2]], ["crash_now"])
 
-    def test_what_does_not_fit_is_named(self):
-        for stream, said in (
-            (THREE[:50], "input ends inside a frame of 104 bytes"),
-            (THREE[:2], "input ends inside a frame's length"),
+    def test_errors_name_what_does_not_fit(self):
+        for stream, message in (
+            (THREE_RECORDS[:50], "input ends inside a frame of 104 bytes"),
+            (THREE_RECORDS[:2], "input ends inside a frame's length"),
             (b"\x04\0\0\0", "frame length 4 does not fit"),
         ):
-            with self.assertRaisesRegex(wire.WireError, said):
+            with self.assertRaisesRegex(wire.WireError, message):
                 wire.read_frame(io.BytesIO(stream))
         with self.assertRaisesRegex(wire.WireError, "code 2 at byte 16 has 200 bytes"):
-            wire.decode(THREE[:17] + b"\xc8" + THREE[18:])
+            wire.decode(THREE_RECORDS[:17] + b"\xc8" + THREE_RECORDS[18:])
 
 
 if __name__ == "__main__":
