--- a/flaxscale/front/members.py
+++ b/flaxscale/front/members.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from .. import interface as face
+from .. import interface
 from ..members.adopt import PAUSE, TRIES, Course, Session, keeper_of, plan, whom
 from ..members.ration import Ration
 from ..members.seats import SeatBook
@@ -141,7 +141,7 @@
         made = self.book.reserved(now())
         if made != self.told:
             self.told = made
-            self.front.runner.reserved(*made)
+            self.front.runner.seats_reserved(*made)
 
     def over_early(self, key):
         """A session is over, or another's, by its box's stream or by our own order: where its claim is out, the grant
@@ -199,7 +199,7 @@
                 self.take_over(news.name)
 
     def word(self, sender, box, kb):
-        self.front.runner.peer_says(sender, box, kb)
+        self.front.runner.peer_load_changed(sender, box, kb)
 
     # Taking over
 
@@ -448,6 +448,6 @@
 
 def ask_of(id, cookie, package, title, row, top):
     """What the module is told of a viewing that plays already."""
-    return face.Asked(
+    return interface.SessionRequest(
         id, package, title, cookie.viewer, 0, min(cookie.top, top), row.first_cell, row.cells, cookie.hint, False, False
     )
--- a/flaxscale/model/play.py
+++ b/flaxscale/model/play.py
@@ -8,14 +8,14 @@
 
 from collections import Counter, defaultdict
 
-from .. import interface as face
-from ..interface import How, ListKind, NoteKind
+from .. import interface
+from ..interface import ListKind, NoteKind, Outcome
 from ..lab.day import arrivals
 from ..lab.shapes import holders_of, ways_of
 from ..lab.ways import CLEAR, Fault, Ways, in_pieces
 from ..leases.duties import tasks_of
 from ..peaks.keeper import RoomKeeper, Surroundings, rates_of
-from ..run import Fate
+from ..run import AnswerKind
 from ..site.terms import Sense
 from ..standins.box import site_of
 from .bound import of_play
@@ -201,13 +201,13 @@
         if wish.leaves is not None and p.tries == self.day.demand.tries:
             self.world.later(round(wish.leaves * SECOND), self.leave, vw)
         self.world.at(asked_at + patience, self.give_up, vw)
-        manager.runner.asked(self.asked_of(vw, max(0, patience - waited - 2 * CLIENT)))
+        manager.runner.session_requested(self.asked_of(vw, max(0, patience - waited - 2 * CLIENT)))
 
     def asked_of(self, vw, left):
         """What a module is told of a viewing. left: of its patience."""
         p, wish = vw.player, vw.player.wish
         title, rungs = self.day.site.titles[wish.title], len(self.day.site.ladder.kb) - 1
-        return face.Asked(
+        return interface.SessionRequest(
             vw.id,
             p.package,
             self.titles[wish.title],
@@ -227,7 +227,7 @@
         if not vw.gone and not vw.playing and vw.manager.up and vw.life == vw.manager.life:
             vw.gone = True
             self.second().fates["left"] += 1
-            vw.manager.runner.left(vw.id)
+            vw.manager.runner.client_left(vw.id)
 
     def give_up(self, vw):
         """Its patience is over and no answer came: a rule is broken, unless its manager died."""
@@ -240,7 +240,7 @@
 
     def answered(self, manager, vw, answer):
         """The manager's answer; the player hears it a moment later."""
-        if answer.fate is Fate.PLAYS:
+        if answer.kind is AnswerKind.PLAYS:
             vw.playing = True
             self.world.later(CLIENT, self.plays, vw)
             return
@@ -249,8 +249,8 @@
             self.faults.append(f"viewing {vw.id} was overdue")
         if not vw.gone:
             vw.gone = True
-            self.second().fates[answer.fate.value] += 1
-            if answer.fate is not Fate.LEFT:
+            self.second().fates[answer.kind.value] += 1
+            if answer.kind is not AnswerKind.LEFT:
                 self.world.later(max(CLIENT, answer.hold_off), self.come_again, vw.player)
 
     def plays(self, vw):
@@ -270,9 +270,9 @@
         manager, life = vw.home
         if manager.up and life == manager.life and vw.id in manager.viewings:
             if not manager.stands(self.left, vw):
-                manager.runner.left(vw.id)
+                manager.runner.client_left(vw.id)
         elif vw.manager.up and vw.life == vw.manager.life and not vw.manager.stands(self.left, vw):
-            vw.manager.runner.left(vw.id)
+            vw.manager.runner.client_left(vw.id)
 
     def come_again(self, p):
         p.tries -= 1
@@ -349,10 +349,10 @@
         if holder.dead or holder.box.trouble.hang or cut:
             limit = round(self.day.site.allowed.dial_timeout_ms * 10)
             self.world.later(
-                limit, manager.probed, life, server, How.UNREACHED if holder.dead else How.TIMEOUT, limit, None
+                limit, manager.probed, life, server, Outcome.UNREACHED if holder.dead else Outcome.TIMEOUT, limit, None
             )
         else:
-            self.world.later(2 * NET, manager.probed, life, server, How.OK, 2 * NET, holder.figures(self.world.now))
+            self.world.later(2 * NET, manager.probed, life, server, Outcome.OK, 2 * NET, holder.figures(self.world.now))
 
     def at_box(self, manager, life, vw, key, server, rung, sent_at, boot):
         """boot: the box's start to which it was sent; a later one never hears of it, as its connection is gone."""
@@ -364,25 +364,29 @@
             )
 
         if holder.dead:
-            answer(0, How.UNREACHED)
+            answer(0, Outcome.UNREACHED)
             return
         if holder.boot != boot:
-            answer(0, How.RESET)
+            answer(0, Outcome.RESET)
             return
         box, t = holder.box, holder.box.trouble
         if t.hang:
             return
         if t.reset_before and box.chance() < t.reset_before:
-            answer(0, How.RESET)
+            answer(0, Outcome.RESET)
             return
         verdict, session = box.set_up(key, vw.player.wish.title, vw.player.wish.sends, manager.name, rung, now)
         if verdict.status == 0:
             self.fleet.fell += 1
             self.die(holder)
-            answer(0, How.RESET)
+            answer(0, Outcome.RESET)
             return
         if session is None:
-            how = {503: How.FULL, 404: How.LACKING}.get(verdict.status, How.MOOT) if not verdict.ran else How.ERROR
+            how = (
+                {503: Outcome.FULL, 404: Outcome.LACKING}.get(verdict.status, Outcome.MOOT)
+                if not verdict.ran
+                else Outcome.ERROR
+            )
             self.second().tune_ins[how.value] += 1
             answer(verdict.after, how)
             return
@@ -393,7 +397,7 @@
         if lost:
             return
         if t.reset_after and box.chance() < t.reset_after:
-            answer(verdict.after, How.RESET)
+            answer(verdict.after, Outcome.RESET)
             self.world.later(verdict.after, self.end_at_box, server, key, manager, 0)
             return
         self.world.later(verdict.after, self.answer_up, holder, holder.boot, manager, life, vw, key, sent_at)
@@ -411,7 +415,7 @@
                     life,
                     vw.id,
                     key[3],
-                    How.RESET,
+                    Outcome.RESET,
                     sent_at,
                     None,
                 )
@@ -483,7 +487,7 @@
         if holder.dead or holder.boot != boot or session is None or vw is None or vw.playing and not vw.gone:
             return
         owner = self.named(session.manager)
-        self.send(f"b{holder.place.id}", owner.name, NET, owner.lost, session.life, key[2], key[3], How.OK)
+        self.send(f"b{holder.place.id}", owner.name, NET, owner.lost, session.life, key[2], key[3], Outcome.OK)
         self.over_at_box(holder, key)
 
     def begin_lease(self, server, key, name, life):
@@ -525,7 +529,7 @@
         if manager.stands(self.hear_peer, manager, life, peer, server, kb):
             return
         if manager.up and manager.life == life:
-            manager.runner.peer_says(peer, server, kb)
+            manager.runner.peer_load_changed(peer, server, kb)
 
     def die(self, holder):
         """A box's process is gone: its viewings break, their managers and players notice."""
@@ -744,7 +748,7 @@
         self.down["m", manager.me] -= 1
         if self.down["m", manager.me]:
             return
-        manager.start([row for row in manager.told.values() if row.state is not face.State.GONE])
+        manager.start([row for row in manager.told.values() if row.state is not interface.ServerStatus.GONE])
         self.send("list", manager.name, round(self.fleet.late), self.full_list, manager, manager.life)
 
     def stopping(self, manager, life, until, span):
@@ -760,7 +764,7 @@
         if manager.stands(self.full_list, manager, life):
             return
         if manager.up and manager.life == life:
-            manager.runner.listing(ListKind.FULL, self.fleet.full())
+            manager.runner.server_list_changed(ListKind.FULL, self.fleet.full())
             manager.told |= {row.server: row for row in self.fleet.full()}
             manager.listed(self.fleet.full())
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -5,8 +5,7 @@
 import struct
 import unittest
 
-from flaxscale import interface as face
-from flaxscale import wirehost
+from flaxscale import interface, wirehost
 from flaxscale.platform import config as configuration
 from flaxscale.platform.bulletin import Bulletin, Unreadable
 from flaxscale.site.load import SiteError
@@ -34,7 +33,7 @@
         sent["conn"].say(line("end", second, why=16))
         self.assertEqual(16, (await self.seen("end", who="viewer", call=second))["why"])
         await self.seen("ended", who=1, call=second)
-        self.assertEqual(({}, {}), (self.host.sessions, self.host.runner.held))
+        self.assertEqual(({}, {}), (self.host.sessions, self.host.runner.sessions))
 
     async def test_releases_that_cross_are_heard_once(self):
         await self.server(1, lambda conn, row: row["op"] == "offer" and plays(conn, row))
@@ -426,12 +425,12 @@
         await self.start(1)
         self.servers[1].close()
         seen = []
-        self.host.runner.tap = lambda now, event, acts: seen.append(event)
+        self.host.runner.observer = lambda now, event, acts: seen.append(event)
         conn = await self.viewer()
         call = self.ask(conn, left=300)
         await self.seen("end", who="viewer", call=call)
-        hows = {event.how for event in seen if isinstance(event, face.Ended)}
-        self.assertEqual({face.How.UNREACHED}, hows)
+        hows = {event.outcome for event in seen if isinstance(event, interface.AttemptEnded)}
+        self.assertEqual({interface.Outcome.UNREACHED}, hows)
 
     async def test_a_thousand_servers_come_and_go_and_the_tables_stay_flat(self):
         await self.server(1)
@@ -488,7 +487,7 @@
         settings["caps"]["maxRetryAfterMs"] = 100.0
         self.write(settings=settings)
         self.host.reload()
-        self.assertEqual(1000, self.host.runner.manager.allowed.hold_off_most)
+        self.assertEqual(1000, self.host.runner.manager.allowed.max_hold_off)
 
     def settings(self):
         from tests.platform_rig import SETTINGS
@@ -510,8 +509,8 @@
         }
         event = json.dumps({"no": 1, "roster": {"full": True, "servers": [row]}}).encode()
         news = bulletin.take(event)
-        self.assertEqual((face.Listed(7, 0, 1, 1, 2, 15000, face.State.READY),), news.entries)
-        self.assertEqual((face.ListKind.FULL, {7: ("10.0.0.1", 5060)}), (news.kind, news.addresses))
+        self.assertEqual((interface.ServerEntry(7, 0, 1, 1, 2, 15000, interface.ServerStatus.READY),), news.entries)
+        self.assertEqual((interface.ListKind.FULL, {7: ("10.0.0.1", 5060)}), (news.kind, news.addresses))
         self.assertIsNone(bulletin.take(event))
         self.assertIsNone(bulletin.take(b'{"no":1}'))
         for text in (b'{"no":2}', b'{"no":3,"roster":{"servers":[]}}', b"{", b'{"no":"x"}', b"5"):
@@ -572,26 +571,26 @@
         await self.server(11)
         await self.start(11)
         by_sockets = []
-        self.host.runner.tap = lambda now, event, acts: by_sockets.append(event)
+        self.host.runner.observer = lambda now, event, acts: by_sockets.append(event)
         conn = await self.viewer()
         call = self.ask(conn, left=1500, call="0000000000000001", key="5", extras="home:0;copies:1;top:1;viewer:6")
         server = (await self.seen("offer", who=11))["conn"]
         await self.seen("accept", who="viewer", call=call)
         server.say(line("info", call, note="asked", value="0.5"), line("end", call, why=16, load="x0:0.25"))
         await self.seen("end", who="viewer", call=call)
-        kinds = (face.Asked, face.Begun, face.Note, face.Ended)
+        kinds = (interface.SessionRequest, interface.AttemptSucceeded, interface.PlaybackNote, interface.AttemptEnded)
 
         def bare(events):  # how long things took is the clock's
             return [
-                event._replace(took=0) if hasattr(event, "took") else event
+                event._replace(duration=0) if hasattr(event, "duration") else event
                 for event in events
                 if isinstance(event, kinds)
             ]
 
         # What the client has left counts from when its line came, so the sockets' own time is taken off it.
         by_wire, by_sockets = bare(by_wire), bare(by_sockets)
-        self.assertTrue(0 <= by_wire[0].left - by_sockets[0].left <= 50)
-        by_sockets[0] = by_sockets[0]._replace(left=by_wire[0].left)
+        self.assertTrue(0 <= by_wire[0].time_left - by_sockets[0].time_left <= 50)
+        by_sockets[0] = by_sockets[0]._replace(time_left=by_wire[0].time_left)
         self.assertEqual(by_wire, by_sockets)
         self.assertEqual(4, len(by_wire))
         self.assertEqual(wirehost.site_terms(params, 0), self.host.config.terms._replace(seed=0))
@@ -616,7 +615,7 @@
         mine = "127.0.0.1:%d" % own[1]
         await self.start(1, settings=settings, peer_listen=mine, peers=[mine, peer], peers_all=peer)
         heard = []
-        self.host.runner.tap = lambda now, event, acts: heard.append(event)
+        self.host.runner.observer = lambda now, event, acts: heard.append(event)
         conn = await self.viewer()
         self.ask(conn)
         await self.seen("accept", who="viewer")
@@ -629,7 +628,10 @@
         taken.sendto(struct.pack("<If", 1, 25.0), own)
         self.ask(conn)
         await self.seen("accept", who="viewer", times=2)
-        self.assertEqual([face.PeerSays(1, 1, 25.0)], [event for event in heard if isinstance(event, face.PeerSays)])
+        self.assertEqual(
+            [interface.PeerLoadChange(1, 1, 25.0)],
+            [event for event in heard if isinstance(event, interface.PeerLoadChange)],
+        )
         self.assertEqual(3, self.host.counts["foreign words"])
 
 
