--- a/bench/hunt.py
+++ b/bench/hunt.py
@@ -33,18 +33,18 @@
 from flaxscale.model.play import Play
 
 EXAMPLES = pathlib.Path(__file__).parent.parent / "examples"
-whole = {name: getattr(Manager, name) for name in ("listed", "has_seat")}
+whole = {name: getattr(Manager, name) for name in ("update_server", "has_seat")}
 sound = {name: getattr(Play, name) for name in ("ended_at_box", "heal", "at_box")}
 lost, stands, start = ModelManager.lost, ModelManager.stands, ModelManager.start
 
 
 def without_drains(self, row):
     if row.state is not ServerStatus.DRAINING:
-        whole["listed"](self, row)
+        whole["update_server"](self, row)
 
 
 def never_cold(self, row):
-    whole["listed"](self, row._replace(started_at=0))
+    whole["update_server"](self, row._replace(started_at=0))
 
 
 def seat_too_many(self, seat, holders=()):
@@ -83,9 +83,9 @@
 
 # name: (what is changed, its new form)
 BUGS = {
-    "drains are not heard": ("flaxscale.decide.Manager.listed", without_drains),
-    "the list's ages are not heard": ("flaxscale.decide.Manager.listed", never_cold),
-    "no pace for cold boxes": ("flaxscale.decide.Manager.in_pace", lambda self, srv: True),
+    "drains are not heard": ("flaxscale.decide.Manager.update_server", without_drains),
+    "the list's ages are not heard": ("flaxscale.decide.Manager.update_server", never_cold),
+    "no pace for cold boxes": ("flaxscale.decide.Manager.slow_start_allows", lambda self, srv: True),
     "a seat too many, now and then": ("flaxscale.decide.Manager.has_seat", seat_too_many),
     "a new manager takes all boxes for warm": ("flaxscale.model.manager.ModelManager.start", starts_warm),
     "ends forgotten while a way is struck": ("flaxscale.model.play.Play.ended_at_box", ends_lost),
--- a/flaxscale/decide.py
+++ b/flaxscale/decide.py
@@ -48,7 +48,7 @@
 class Manager:
     def __init__(self, terms):
         self.servers, self.racks, self.cells = {}, {}, {}
-        self.viewings, self.waiting, self.seats = {}, [], Seats()
+        self.sessions, self.waiting, self.seats = {}, [], Seats()
         self.titles = {}  # what a catalogue told of titles
         self.lacking = {}  # (server, title): until when it is not asked for it
         self.kept_for = {}, {}  # titles, packages of an announced peak: the rung that room is kept for
@@ -81,20 +81,20 @@
     def changed(self, event):
         """New terms in service: who waits or plays goes by them at once; what was counted stands."""
         self.rule(event.terms)
-        for vw in self.viewings.values():
+        for vw in self.sessions.values():
             self.bind(vw)
         self.racks = {}
         for srv in self.servers.values():
-            srv.others = 0  # streams may be reported no more
+            srv.other_streams = 0  # streams may be reported no more
             self.stand(srv)
             self.recount(srv)
-        self.set_rungs({vw: vw.in_bounds() for vw in self.viewings.values() if vw.playing and vw.server})
+        self.set_rungs({vw: vw.in_bounds() for vw in self.sessions.values() if vw.playing and vw.server})
 
     def weigh(self):
         """The site's goal counts the worst-served package apart: steps of those near it earn more."""
         self.weighed_at, goal, asked, served = self.now, self.terms.goal, Counter(), Counter()
         self.lacking = {key: until for key, until in self.lacking.items() if until > self.now}
-        for vw in self.viewings.values():
+        for vw in self.sessions.values():
             asked[vw.ask.package] += self.terms.ladder.worth[vw.top]
             served[vw.ask.package] += self.terms.ladder.worth[vw.rung] * vw.playing
         if not asked or not goal.worst_package:
@@ -159,7 +159,7 @@
             [
                 srv
                 for srv in self.holders(vw)
-                if srv.row.state is ServerStatus.READY and self.now >= srv.shut_until and self.dim(srv)
+                if srv.row.state is ServerStatus.READY and self.now >= srv.backoff_until and self.dim(srv)
             ]
             if self.looks
             else []
@@ -168,7 +168,7 @@
             self.probe(srv)
 
     def dim(self, srv):
-        return self.now - (srv.link.heard_at or 0) >= LOOK_AGAIN
+        return self.now - (srv.link.reported_at or 0) >= LOOK_AGAIN
 
     def probe(self, srv):
         if self.dim(srv) and not srv.looking:
@@ -177,7 +177,7 @@
 
     def look_up(self):
         """What plays at its lowest rung is looked after too: it may have begun in a crowd."""
-        for vw in self.viewings.values() if self.looks else ():
+        for vw in self.sessions.values() if self.looks else ():
             if vw.playing and vw.server and vw.rung == vw.floor < vw.top and self.now - vw.stepped_at >= vw.look_after:
                 vw.look_after *= 3
                 self.probe(vw.server)
@@ -186,9 +186,9 @@
         srv, figures = self.servers.get(event.server), dict(zip(self.terms.fleet.load_names, event.load))
         if srv is None:
             return
-        srv.looking, srv.others = False, max(0, figures.get("streams", 0) - len(srv.viewings))
+        srv.looking, srv.other_streams = False, max(0, figures.get("streams", 0) - len(srv.sessions))
         if event.outcome is not Outcome.OK:
-            srv.rests_until = self.now + REST
+            srv.paused_until = self.now + REST
         if "uplink" in figures:
             srv.rack.heard(self.now, LOOK_LAG, figures["uplink"])
         if "link" in figures:
@@ -199,7 +199,7 @@
     def heard(self, srv, lag, amount):
         """A figure of a link, from a note or a probe."""
         srv.link.heard(self.now, lag, amount)
-        others = max(0.0, amount - srv.link.own / srv.link.kb)
+        others = max(0.0, amount - srv.link.own_kb / srv.link.capacity_kb)
         if srv.rack.reckoned[0] <= self.now:  # else it is to blame
             srv.rack.reckoned = -SECOND, 0
         self.others_load.heard(self.now, others)
@@ -207,7 +207,7 @@
 
     def viewing(self, ask):
         vw = SessionState(ask, self.now)
-        self.viewings[ask.id], vw.life = vw, self.life(vw)
+        self.sessions[ask.id], vw.life = vw, self.life(vw)
         self.bind(vw)
         return vw
 
@@ -225,14 +225,14 @@
         self.occupy(vw, srv)
 
     def left(self, event):
-        if vw := self.viewings.get(event.id):
+        if vw := self.sessions.get(event.id):
             vw.answered = True
             self.forget(vw)
             if vw.server and not vw.playing and self.allowed.may_cancel:
                 self.out.append(interface.CallOff(vw.id, vw.nth))
 
     def begun(self, event):
-        vw = self.viewings.get(event.id)
+        vw = self.sessions.get(event.id)
         if vw and event.nth == vw.nth:
             vw.playing, vw.answered, vw.stepped_at, vw.begun_at = True, True, self.now, self.now
             self.resume(vw, Outcome.OK)
@@ -241,18 +241,18 @@
                 self.set_rungs({vw: vw.in_bounds()})  # a rendition may have gone while the tune-in was out
 
     def ended(self, event):
-        srv, vw = self.servers.get(event.server), self.viewings.get(event.id)
+        srv, vw = self.servers.get(event.server), self.sessions.get(event.id)
         if vw is None or event.nth != vw.nth:
             return
         if srv and event.outcome in (Outcome.ERROR, Outcome.TIMEOUT, Outcome.UNREACHED, Outcome.RESET):
             if event.outcome is Outcome.ERROR and self.now - srv.well_at < SERVES:
-                vw.erred.setdefault(srv, (srv.ills, srv.shut_until, srv.doubt_at))
+                vw.erred.setdefault(srv, (srv.failures, srv.backoff_until, srv.failed_at))
             self.ill(srv)
             # Two that serve others well answered it alike: the fault is its own, and no third is asked.
             for other, was in vw.erred.items() if len(vw.erred) > 1 else ():
-                other.ills, other.shut_until, other.doubt_at = was
+                other.failures, other.backoff_until, other.failed_at = was
         elif srv and event.outcome is Outcome.FULL:
-            srv.rests_until = self.now + REST
+            srv.paused_until = self.now + REST
         elif event.outcome is Outcome.LACKING:
             # It is ahead of us, or behind: others first, this one again when one of us may have caught up.
             self.lacking[event.server, vw.ask.title] = self.now + REST
@@ -274,7 +274,7 @@
             self.titles.pop(event.title, None)
             return
         self.titles[event.title] = event
-        changed = [vw for vw in self.viewings.values() if vw.ask.title == event.title]
+        changed = [vw for vw in self.sessions.values() if vw.ask.title == event.title]
         for vw in changed:
             self.bind(vw)
         self.set_rungs({vw: vw.in_bounds() for vw in changed if vw.playing and vw.server})
@@ -288,7 +288,7 @@
         self.kept_for, whole = (event.titles, event.packages), sum(event.reserved_kb.values())
         took = (
             sum(
-                self.asking(vw for vw in srv.viewings.values() if self.kept_rung(vw) >= 0)
+                self.asking(vw for vw in srv.sessions.values() if self.kept_rung(vw) >= 0)
                 for server, srv in self.servers.items()
                 if server in event.reserved_kb
             )
@@ -298,10 +298,10 @@
         left = max(0.0, 1 - took * self.terms.manager_count / whole) if whole else 0
         self.eased = took * self.terms.manager_count <= EASED * whole
         for rack in self.racks.values():
-            rack.kept = 0.0
+            rack.reserved_kb = 0.0
         for server, srv in self.servers.items():
-            srv.kept = event.reserved_kb.get(server, 0.0) * left
-            srv.rack.kept += srv.kept
+            srv.reserved_kb = event.reserved_kb.get(server, 0.0) * left
+            srv.rack.reserved_kb += srv.reserved_kb
 
     def reserve(self, event):
         self.seats.reserve(event.seats, event.servers)
@@ -419,7 +419,7 @@
         if vw.pack.effect == "safe" and vw.nth + 1 < self.allowed.max_attempts:
             expire = min(expire, self.now + max(ATTEMPT_LEAST, vw.pack.join_target // 2))
         if self.is_cold(srv):
-            srv.turn = self.pace_turn(srv)
+            srv.last_turn = self.slow_start_turn(srv)
         if rung != vw.floor or vw.rung != vw.floor:
             self.out.append(interface.SetRung(vw.id, rung))
         vw.rung = rung
@@ -430,20 +430,20 @@
         vw.server = srv
         self.seats.take(vw.seat)
         if srv:
-            srv.viewings[vw.id], srv.judged = vw, -1
+            srv.sessions[vw.id], srv.judged = vw, -1
             self.recount(srv, new=not vw.playing)
 
     def vacate(self, vw):
         srv, vw.server = vw.server, None
         self.seats.free(vw.seat)
         if srv:
-            srv.viewings.pop(vw.id, None)
+            srv.sessions.pop(vw.id, None)
             self.recount(srv)
             self.drop(srv)
 
     def forget(self, vw):
         if vw.server is None:
-            self.viewings.pop(vw.id, None)
+            self.sessions.pop(vw.id, None)
         if vw.waiting:
             self.waiting.remove(vw)
             vw.waiting = False
@@ -455,16 +455,16 @@
         holders, every = self.open_holders(vw, bad_too), self.terms.fleet.note_every
         old = self.now - 2 * (every or 2 * SECOND)
         for srv in holders:  # where we hold nothing no figure comes, and the last one misleads
-            if not (srv.viewings and every) and (srv.link.heard_at or 0) < old:
-                srv.link.heard_at, srv.others = None, 0
+            if not (srv.sessions and every) and (srv.link.reported_at or 0) < old:
+                srv.link.reported_at, srv.other_streams = None, 0
         # Of those that nothing was heard of one by chance, or all managers would take the same largest.
         dark = {
-            srv: max(1.0, srv.link.kb * (1 - srv.use()))
-            for srv in self.some([srv for srv in holders if srv.link.heard_at is None], DRAWN)
+            srv: max(1.0, srv.link.capacity_kb * (1 - srv.use()))
+            for srv in self.some([srv for srv in holders if srv.link.reported_at is None], DRAWN)
         }
         drawn = dark and max(dark, key=lambda srv: log(self.chance() + 1e-9) / dark[srv])
         # Of those heard of a few: figures come to all managers at once, who would all take the same best.
-        heard = self.some([srv for srv in holders if srv.link.heard_at is not None], DRAWN)
+        heard = self.some([srv for srv in holders if srv.link.reported_at is not None], DRAWN)
         fits = [(*self.fit(srv, vw), srv) for srv in (heard + [drawn] if drawn else heard)]
         # Where nothing of ours plays there is no connection: it has its price, and many managers pay it.
         best = max(
@@ -473,7 +473,7 @@
             key=lambda fit: (
                 vw.pack.value * self.terms.ladder.worth[fit[0]]
                 - self.crossing(fit[2])
-                - (0 if fit[2].viewings else self.dial),
+                - (0 if fit[2].sessions else self.dial),
                 fit[1],
             ),
         )
@@ -532,8 +532,8 @@
         if sound or not bad_too:
             return sound
         # All look bad: those whose pause ends first. One by its id alone was the same for all managers.
-        first = min((max(srv.shut_until, self.now) for srv in holders), default=0)
-        return [srv for srv in holders if max(srv.shut_until, self.now) == first]
+        first = min((max(srv.backoff_until, self.now) for srv in holders), default=0)
+        return [srv for srv in holders if max(srv.backoff_until, self.now) == first]
 
     def judge(self, srv):
         """Whether rules and places let anything go there; once a call, as a slot asks that many times."""
@@ -541,8 +541,8 @@
             self.calls,
             (
                 srv.row.state is ServerStatus.READY
-                and self.in_pace(srv)
-                and len(srv.viewings) + srv.others + 1 <= self.terms.fleet.slots[srv.row.kind]
+                and self.slow_start_allows(srv)
+                and len(srv.sessions) + srv.other_streams + 1 <= self.terms.fleet.slots[srv.row.kind]
             ),
         )
         return srv.usable
@@ -555,7 +555,7 @@
     def rate(self, srv, vw, rung):
         """What the viewing would add at this server: less where it joins a live stream of ours."""
         joins = vw.pack.live and any(
-            o.rung == rung and o.seat == vw.seat and o is not vw for o in srv.viewings.values()
+            o.rung == rung and o.seat == vw.seat and o is not vw for o in srv.sessions.values()
         )
         return self.step(vw, rung).kb * (self.terms.ladder.join if joins else 1)
 
@@ -563,13 +563,15 @@
         """The rung rule: the highest under its mark, else the lowest that fits under the brim."""
         # The rate, as a part of the link, on the larger use of the two: a link that reads emptier than its
         # rack is not taken at its word, or all managers rush to it.
-        dark = DARK * (1 - 1 / self.terms.manager_count) if srv.link.heard_at is None else 0
+        dark = DARK * (1 - 1 / self.terms.manager_count) if srv.link.reported_at is None else 0
         mine = self.kept_rung(vw) >= 0
-        kept, both = (0, 0) if mine else (srv.kept / srv.link.kb, srv.rack.kept / srv.rack.kb)
-        use, cap = srv.use() + dark + max(kept, both), min(srv.link.kb, srv.rack.kb)
+        kept, both = (
+            (0, 0) if mine else (srv.reserved_kb / srv.link.capacity_kb, srv.rack.reserved_kb / srv.rack.capacity_kb)
+        )
+        use, cap = srv.use() + dark + max(kept, both), min(srv.link.capacity_kb, srv.rack.capacity_kb)
         for rung in range(vw.top, vw.floor - 1, -1):
             kb = self.rate(srv, vw, rung)
-            after = max(use + kb / srv.link.kb, srv.rack.use() + both + kb / srv.rack.kb)
+            after = max(use + kb / srv.link.capacity_kb, srv.rack.use() + both + kb / srv.rack.capacity_kb)
             if rung == vw.floor:  # nobody is blocked for a crowd that may come
                 after -= max(kept, both)
             if after <= (self.mark(vw, rung) if rung > vw.floor else BRIM + dark):
@@ -587,24 +589,24 @@
         )
 
     def recount(self, srv, new=True):
-        own = self.asking(srv.viewings.values())
-        if new and self.tells and own != srv.link.own:
-            self.out.append(interface.TellPeers(srv.row.server, own - srv.link.own))
-        self.asked_kb += own - srv.link.own
-        srv.rack.asks(self.now, srv.rack.own + own - srv.link.own, new)
+        own = self.asking(srv.sessions.values())
+        if new and self.tells and own != srv.link.own_kb:
+            self.out.append(interface.TellPeers(srv.row.server, own - srv.link.own_kb))
+        self.asked_kb += own - srv.link.own_kb
+        srv.rack.asks(self.now, srv.rack.own_kb + own - srv.link.own_kb, new)
         srv.link.asks(self.now, own, new)
 
     def usual(self):
         """What others ask of an unheard link. By its own asking alone a busy newcomer took all for full."""
         if self.usual_at != self.now:
             self.usual_at, own_part = self.now, self.asked_kb / self.all_links()
-            self.usual_use = self.others_load.usual(self.now, self.terms.manager_count, len(self.viewings), own_part)
+            self.usual_use = self.others_load.usual(self.now, self.terms.manager_count, len(self.sessions), own_part)
         return self.usual_use
 
     def all_links(self):
         """kB a second of all links together: added up when the list changes, not at each question."""
         if self.links_kb is None:
-            self.links_kb = max(1.0, sum(srv.link.kb for srv in self.servers.values()))
+            self.links_kb = max(1.0, sum(srv.link.capacity_kb for srv in self.servers.values()))
         return self.links_kb
 
     def usual_uplink(self, rack):
@@ -613,14 +615,14 @@
             others = (
                 sum(
                     (
-                        max(0.0, link.use() - link.own / link.kb)
-                        if link.heard_at is not None and self.now - link.heard_at < 8 * SECOND
+                        max(0.0, link.use() - link.own_kb / link.capacity_kb)
+                        if link.reported_at is not None and self.now - link.reported_at < 8 * SECOND
                         else self.usual()
                     )
-                    * link.kb
+                    * link.capacity_kb
                     for link in (srv.link for srv in rack.servers)
                 )
-                / rack.kb
+                / rack.capacity_kb
             )
             rack.reckoned = self.now, others
         return rack.reckoned[1]
@@ -629,41 +631,43 @@
 
     def sound(self, srv):
         return (
-            self.now >= max(srv.rests_until, srv.shut_until)
+            self.now >= max(srv.paused_until, srv.backoff_until)
             and not srv.looking
-            and not (srv.ills and any(not vw.playing for vw in srv.viewings.values()))
+            and not (srv.failures and any(not vw.playing for vw in srv.sessions.values()))
         )
 
     def ill(self, srv):
         """A failed tune-in or a lost stream, whatever the cause: pause, longer each time, then one trial."""
-        if self.now >= srv.shut_until:
-            srv.ills += 1
-            srv.shut_until = self.now + (SHUT << min(srv.ills, SHUT_DOUBLINGS))
-        srv.doubt_at = self.now
+        if self.now >= srv.backoff_until:
+            srv.failures += 1
+            srv.backoff_until = self.now + (SHUT << min(srv.failures, SHUT_DOUBLINGS))
+        srv.failed_at = self.now
 
     def well(self, srv):
-        srv.ills, srv.well_at = srv.ills // 2, self.now
+        srv.failures, srv.well_at = srv.failures // 2, self.now
         # A server that failed and came back may have restarted, whatever the list says.
-        if srv.doubt_at is not None:
-            srv.doubt_at, srv.cold_until = None, max(srv.cold_until, self.now + self.rules.warm_up_time)
+        if srv.failed_at is not None:
+            srv.failed_at, srv.cold_until = None, max(srv.cold_until, self.now + self.rules.warm_up_time)
 
     def is_cold(self, srv):
         # The list of a manager that has just started may not know of a restart; what it sees there may.
         return (
-            srv.doubt_at is not None
+            srv.failed_at is not None
             or self.now < srv.cold_until
             or (not srv.seen_warm and self.now < self.started_at + self.rules.warm_up_time)
         )
 
-    def pace_turn(self, srv):
+    def slow_start_turn(self, srv):
         """Turns of the time in which one set-up of all managers may go to a cold server."""
         return turn_at(self.now, self.rules, self.terms.fleet.slots[srv.row.kind])
 
-    def in_pace(self, srv):
+    def slow_start_allows(self, srv):
         if not self.is_cold(srv):
             return True
-        known_cold = srv.doubt_at is not None or self.now < srv.cold_until
-        return may_send(self.pace_turn(srv), srv.turn, known_cold, self.terms.manager_number, self.terms.manager_count)
+        known_cold = srv.failed_at is not None or self.now < srv.cold_until
+        return may_send(
+            self.slow_start_turn(srv), srv.last_turn, known_cold, self.terms.manager_number, self.terms.manager_count
+        )
 
     # What is heard of servers
 
@@ -677,24 +681,24 @@
                 if event.kind is not ListKind.DELTA and n not in named
             ),
         ]:
-            self.listed(row)
+            self.update_server(row)
 
-    def listed(self, row):
+    def update_server(self, row):
         if row.server not in self.servers and row.state is ServerStatus.GONE:
             return
         if (srv := self.servers.get(row.server)) is None:
             srv = self.servers[row.server] = ServerState(row, CapacityAccount(1, self.usual))
             self.stand(srv)
             self.cells.setdefault(row.cell, {})[row.server] = srv
-        if row.started_at > srv.row.started_at and srv.doubt_at is not None and row.started_at > srv.doubt_at:
-            srv.doubt_at, srv.ills, srv.shut_until = None, 0, 0
+        if row.started_at > srv.row.started_at and srv.failed_at is not None and row.started_at > srv.failed_at:
+            srv.failed_at, srv.failures, srv.backoff_until = None, 0, 0
         srv.row = row
         srv.cold_until = max(srv.cold_until, row.started_at and row.started_at + self.rules.warm_up_time)
         self.drop(srv)
 
     def drop(self, srv):
         """Gone and empty is forgotten, or replaced machines fill the memory and weigh on their rack."""
-        if srv.row.state is ServerStatus.GONE and not srv.viewings and self.servers.pop(srv.row.server, None):
+        if srv.row.state is ServerStatus.GONE and not srv.sessions and self.servers.pop(srv.row.server, None):
             srv.rack.servers.remove(srv)
             self.links_kb = None
             self.cells.get(srv.row.cell, {}).pop(srv.row.server, None)
@@ -704,13 +708,13 @@
         fleet, number, size = self.terms.fleet, srv.row.cell % self.terms.fleet.racks, srv.row.weight
         if not fleet.weights_known:  # the places of its kind tell its size
             size = fleet.slots[srv.row.kind] * len(fleet.slots) / sum(fleet.slots)
-        srv.link.kb = max(1.0, size * fleet.kb_per_weight)
+        srv.link.capacity_kb = max(1.0, size * fleet.kb_per_weight)
         if number not in self.racks:
             rack = self.racks[number] = CapacityAccount(fleet.uplink_kb, lambda: self.usual_uplink(rack))
         srv.rack = self.racks[number]
         srv.rack.servers.append(srv)
         self.links_kb = None
-        srv.rack.own += srv.link.own
+        srv.rack.own_kb += srv.link.own_kb
 
     def peer_says(self, event):
         """Another manager's change of asking counts until a figure shows it: against one rush to one room."""
@@ -718,7 +722,7 @@
             self.servers[event.server].link.others(self.now, event.kb)
 
     def note(self, event):
-        vw, srv = self.viewings.get(event.id), self.servers.get(event.server)
+        vw, srv = self.sessions.get(event.id), self.servers.get(event.server)
         if event.kind is NoteKind.RUNG and vw and vw.server:
             vw.rung = int(event.amount)
             self.recount(vw.server, new=False)
@@ -734,7 +738,7 @@
         self.step_down(srv, srv.use())
         if event.kind is NoteKind.UPLINK:
             self.step_up(srv.rack.servers)
-        elif srv.rack.heard_at is None:
+        elif srv.rack.reported_at is None:
             self.step_up([srv])
 
     def delivers(self, srv, lag, share):
@@ -744,7 +748,7 @@
         link heard of since explains it. Else a rack behind a weak one draws all: its links look the emptiest.
         """
         if share < 0.98:
-            srv.rests_until = self.now + REST
+            srv.paused_until = self.now + REST
         if self.now >= srv.short_at + STANDS:
             srv.short_since = self.now
         srv.short_at, srv.asked = self.now, 1 / max(share, STILL)
@@ -752,12 +756,12 @@
             ours = [
                 o
                 for o in srv.rack.servers
-                if any(vw.playing and self.now >= vw.stepped_at + STANDS for vw in o.viewings.values())
+                if any(vw.playing and self.now >= vw.stepped_at + STANDS for vw in o.sessions.values())
             ]
             asked = min((o.asked if self.now < o.short_at + STANDS else 0 for o in ours), default=0)
-            told = [o.link.use() for o in ours if (o.link.heard_at or 0) >= o.short_since + lag]
+            told = [o.link.use() for o in ours if (o.link.reported_at or 0) >= o.short_since + lag]
             if told and asked > max(told) + BEYOND:
-                srv.rack.reckoned = self.now + BLAMED, asked - srv.rack.own / srv.rack.kb
+                srv.rack.reckoned = self.now + BLAMED, asked - srv.rack.own_kb / srv.rack.capacity_kb
         # A shortage that the account does not show: figures are late, or the bottleneck is not told of.
         # Not while what we shed last may not be in the share yet, nor where nothing flows.
         if STILL < share < DEEP and self.now >= srv.shed_at + lag + SETTLE:
@@ -778,7 +782,7 @@
         """A link that is short sheds the steps that earn least; each sheds its part, as all hear the same."""
         if use > SHED_OVER:
             srv.shed_at = self.now
-            self.set_rungs(self.shed(srv.viewings.values(), srv.link.own * (1 - SHED_TO / use)))
+            self.set_rungs(self.shed(srv.sessions.values(), srv.link.own_kb * (1 - SHED_TO / use)))
 
     def shed(self, viewings, kb):
         """Plan of rungs that frees so much, from the steps that earn least; a part of a step by chance."""
@@ -802,14 +806,14 @@
         """Room goes to the steps that earn most; a reported uplink's to all its servers at once."""
         ladder, rack, both = self.terms.ladder, servers[0].rack, servers[0].rack.use()
         use = {
-            srv: srv.use() if rack.heard_at is None else srv.link.use()
+            srv: srv.use() if rack.reported_at is None else srv.link.use()
             for srv in servers
-            if self.now >= srv.rests_until
+            if self.now >= srv.paused_until
         }
         plan = {
             vw: vw.rung
             for srv in use
-            for vw in srv.viewings.values()
+            for vw in srv.sessions.values()
             if vw.playing and vw.rung < vw.top and self.now - vw.stepped_at >= STEP_PAUSE
         }
         open_to = set(plan)
@@ -817,18 +821,18 @@
             vw = max(open_to, key=lambda vw: (self.step(vw, plan[vw] + 1).earns, -vw.id))
             mark, srv, link = self.mark(vw, plan[vw] + 1), vw.server, vw.server.link
             if self.kept_rung(vw) < 0:
-                mark -= max(srv.kept / link.kb, rack.kept / rack.kb)
+                mark -= max(srv.reserved_kb / link.capacity_kb, rack.reserved_kb / rack.capacity_kb)
             kb = self.step(vw, plan[vw] + 1).kb - self.step(vw, plan[vw]).kb
-            alone = max(use[srv] + 2 * kb / link.kb, both + 2 * kb / rack.kb) <= mark
+            alone = max(use[srv] + 2 * kb / link.capacity_kb, both + 2 * kb / rack.capacity_kb) <= mark
             # All who hear of this room take their own share of it, less than a step by chance.
             part = min(
                 1.0,
-                max(0.0, mark - use[srv]) * link.kb * link.share() / kb,
-                max(0.0, mark - both) * rack.kb * rack.share() / kb,
+                max(0.0, mark - use[srv]) * link.capacity_kb * link.share() / kb,
+                max(0.0, mark - both) * rack.capacity_kb * rack.share() / kb,
             )
             if fits := alone and self.chance() < part:
-                use[srv] += kb / link.kb / link.share()
-                both += kb / rack.kb / rack.share()
+                use[srv] += kb / link.capacity_kb / link.share()
+                both += kb / rack.capacity_kb / rack.share()
                 plan[vw] += 1
             if not fits or plan[vw] == vw.top:
                 open_to.discard(vw)
--- a/flaxscale/decisions/capacity.py
+++ b/flaxscale/decisions/capacity.py
@@ -22,39 +22,41 @@
     as of when, and what others ask of it. kept: kB a second that are kept for an announced peak.
     """
 
-    def __init__(self, kb: float, unheard: Callable[[], float]) -> None:
-        self.kb, self.unheard = max(kb, 1.0), unheard
-        self.own = 0.0
-        self.heard_at: int | None = None
-        self.base = self.own_then = self.kept = 0.0  # the last figure, and our load at the time that it tells of
+    def __init__(self, capacity_kb: float, unheard: Callable[[], float]) -> None:
+        self.capacity_kb, self.unheard = max(capacity_kb, 1.0), unheard
+        self.own_kb = 0.0
+        self.reported_at: int | None = None
+        self.reported_use = self.own_kb_at_report = self.reserved_kb = (
+            0.0  # the last figure, and our load at the time that it tells of
+        )
         self.servers: list[Any] = []
         self.reckoned: tuple[int, float] = (-SECOND, 0)
         self.changes = BucketWindow(CHANGE_BUCKET, CHANGE_BUCKETS)
 
-    def asks(self, now: int, own: float, new: bool = True) -> None:
+    def asks(self, now: int, own_kb: float, new: bool = True) -> None:
         """Our load from now on; not new: it ran before, and a figure that comes late has it in already."""
         if new:
-            self.changes.add(now, own - self.own)
+            self.changes.add(now, own_kb - self.own_kb)
         else:
-            self.own_then += own - self.own
-        self.own = own
+            self.own_kb_at_report += own_kb - self.own_kb
+        self.own_kb = own_kb
 
     def others(self, now: int, kb: float) -> None:
         """Another manager asks so much more, until a figure shows it."""
         self.changes.add(now, kb)
-        self.own_then -= kb
+        self.own_kb_at_report -= kb
 
     def use(self) -> float:
         """The part of it that is in use."""
-        if self.heard_at is None:
-            return self.own / self.kb + self.unheard()
-        return max(0.0, self.base + (self.own - self.own_then) / self.kb)
+        if self.reported_at is None:
+            return self.own_kb / self.capacity_kb + self.unheard()
+        return max(0.0, self.reported_use + (self.own_kb - self.own_kb_at_report) / self.capacity_kb)
 
     def share(self) -> float:
         """Our part of what is in use."""
-        return min(1.0, max(self.own, 1.0) / self.kb / max(self.use(), 1e-9))
+        return min(1.0, max(self.own_kb, 1.0) / self.capacity_kb / max(self.use(), 1e-9))
 
     def heard(self, now: int, lag: int, amount: float) -> None:
         """A figure, which tells of the time `lag` ago."""
-        self.base, self.heard_at = amount, now
-        self.own_then = self.own - sum(self.changes.since(now - lag))
+        self.reported_use, self.reported_at = amount, now
+        self.own_kb_at_report = self.own_kb - sum(self.changes.since(now - lag))
--- a/flaxscale/decisions/state.py
+++ b/flaxscale/decisions/state.py
@@ -17,17 +17,17 @@
     def __init__(self, row: ServerEntry, link: CapacityAccount) -> None:
         self.row, self.link = row, link
         self.rack: CapacityAccount
-        self.viewings: dict[int, SessionState] = {}
-        self.ills = self.shut_until = self.rests_until = self.shed_at = 0  # ills: failures, halved by good
-        self.doubt_at: int | None = None
+        self.sessions: dict[int, SessionState] = {}
+        self.failures = self.backoff_until = self.paused_until = self.shed_at = 0  # ills: failures, halved by good
+        self.failed_at: int | None = None
         self.cold_until = 0  # doubt: seen failing then, not seen working since
-        self.turn: int | None = None
+        self.last_turn: int | None = None
         self.seen_warm = False  # last turn of the pace used; it carried others' sessions
         self.well_at = -SERVES  # when it last answered well
         self.short_at = self.short_since = 0
         self.asked: float = 0  # short delivery: last told, since when, how short
-        self.looking, self.others = False, 0  # a probe of it is out; others' streams, as last reported
-        self.judged, self.usable, self.kept = -1, False, 0.0  # in which call; how; kB kept for a peak
+        self.looking, self.other_streams = False, 0  # a probe of it is out; others' streams, as last reported
+        self.judged, self.usable, self.reserved_kb = -1, False, 0.0  # in which call; how; kB kept for a peak
 
     def use(self) -> float:
         return max(self.link.use(), self.rack.use())
--- a/flaxscale/front/front.py
+++ b/flaxscale/front/front.py
@@ -990,7 +990,7 @@
                 "address": row.address,
                 "state": row.state,
                 "cell": row.cell,
-                "viewings": len(srv.viewings) if srv else 0,
+                "viewings": len(srv.sessions) if srv else 0,
                 "use": round(srv.use(), 3) if srv else None,
                 "stream": watch.state.value if watch else "off",
             }
--- a/flaxscale/front/peaks.py
+++ b/flaxscale/front/peaks.py
@@ -76,7 +76,7 @@
         if not self.keeper.peaks and not self.told:
             return
         runner, s = self.front.runner, self.now()
-        servers = {id: (srv.row, srv.link.kb) for id, srv in runner.manager.servers.items()}
+        servers = {id: (srv.row, srv.link.capacity_kb) for id, srv in runner.manager.servers.items()}
         rooms, titles, packages = self.keeper.rooms(s, servers)
         self.kept_kb = sum(rooms.values())
         told = rooms, titles, packages
--- a/flaxscale/model/manager.py
+++ b/flaxscale/model/manager.py
@@ -100,7 +100,7 @@
     def keep_room(self, s):
         """Each second: the room for announced peaks, from this manager's own list."""
         if self.up and self.keeper is not None:
-            servers = {id: (srv.row, srv.link.kb) for id, srv in self.runner.manager.servers.items()}
+            servers = {id: (srv.row, srv.link.capacity_kb) for id, srv in self.runner.manager.servers.items()}
             self.runner.peaks_reserved(*self.keeper.rooms(s, servers))
 
     def crash(self):
--- a/flaxscale/platform/belief.py
+++ b/flaxscale/platform/belief.py
@@ -18,7 +18,7 @@
     def noted(self, server, kind, told):
         """Before the module hears a figure of a link: how far its own account was off."""
         srv = self.host.runner.manager.servers.get(server)
-        if kind is not interface.NoteKind.LINK or srv is None or srv.link.heard_at is None:
+        if kind is not interface.NoteKind.LINK or srv is None or srv.link.reported_at is None:
             return
         gap = srv.link.use() - told
         self.notes += 1
@@ -32,14 +32,14 @@
         manager, endpoints = self.host.runner.manager, self.host.servers.endpoints
         apart = out = 0
         for server, srv in manager.servers.items():
-            playing = sum(vw.playing for vw in srv.viewings.values())
-            out += len(srv.viewings) - playing
+            playing = sum(vw.playing for vw in srv.sessions.values())
+            out += len(srv.sessions) - playing
             apart += abs(playing - (len(endpoints[server].playing) if server in endpoints else 0))
         sent = sum(one.call is not None for endpoint in endpoints.values() for one in endpoint.connections) + sum(
             len(endpoint.waiting) for endpoint in endpoints.values()
         )
         n = max(1, self.notes)
-        rungs = [vw.rung for vw in manager.viewings.values() if vw.playing]
+        rungs = [vw.rung for vw in manager.sessions.values() if vw.playing]
         found = {
             "figures": self.notes,
             "use_told": round(self.told / n, 3),
@@ -50,8 +50,8 @@
             "viewings_apart": apart,
             "out_believed": out,
             "out_sent": sent,
-            "shut": sum(manager.now < srv.shut_until for srv in manager.servers.values()),
-            "rests": sum(manager.now < srv.rests_until for srv in manager.servers.values()),
+            "shut": sum(manager.now < srv.backoff_until for srv in manager.servers.values()),
+            "rests": sum(manager.now < srv.paused_until for srv in manager.servers.values()),
             "cold": sum(manager.is_cold(srv) for srv in manager.servers.values()),
         }
         self.begin()
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -26,7 +26,7 @@
         for id in range(1, 6):
             self.at(0, self.ask(id))
             self.at(3_000, self.begun(id, 1))
-        self.lines.append(f"asked of the link: {self.manager.servers[1].link.own} kB a second")
+        self.lines.append(f"asked of the link: {self.manager.servers[1].link.own_kb} kB a second")
         self.compare()
 
     def test_what_is_due_before_the_slot_ends_is_placed_now(self):
@@ -144,18 +144,20 @@
         self.at(0, self.ask(20), say="impossible: an error at one, then at another, and no third is asked")
         self.at(500)
         for nth in range(2):
-            server = self.manager.viewings[20].server.row.server
+            server = self.manager.sessions[20].server.row.server
             self.at(10, self.ended(20, server, Outcome.ERROR, nth=nth))
         for server, srv in sorted(self.manager.servers.items()):
             self.lines.append(
-                f"{server}: ills {srv.ills}, shut {srv.shut_until > self.now}, cold {self.manager.is_cold(srv)}"
+                f"{server}: ills {srv.failures}, shut {srv.backoff_until > self.now}, cold {self.manager.is_cold(srv)}"
             )
         self.at(6 * S, self.ask(21), say="none of them served within 5 s: each error counts against its server")
         self.at(500)
         for nth in range(2):
-            server = self.manager.viewings[21].server.row.server
+            server = self.manager.sessions[21].server.row.server
             self.at(10, self.ended(21, server, Outcome.ERROR, nth=nth))
-        self.lines.append(f"shut {sorted(n for n, srv in self.manager.servers.items() if srv.shut_until > self.now)}")
+        self.lines.append(
+            f"shut {sorted(n for n, srv in self.manager.servers.items() if srv.backoff_until > self.now)}"
+        )
         self.compare()
 
     def test_cold_server_takes_our_turns_of_the_pace(self):
@@ -173,16 +175,16 @@
         srv = self.manager.servers[1]
 
         def takes(say):
-            turn, may = self.manager.pace_turn(srv), self.manager.in_pace(srv)
+            turn, may = self.manager.slow_start_turn(srv), self.manager.slow_start_allows(srv)
             self.lines.append(f"{say}: turn {turn % 3} of 3, {'taken' if may else 'not ours'}")
-            srv.turn = turn if may else srv.turn
+            srv.last_turn = turn if may else srv.last_turn
             return turn
 
-        while self.manager.pace_turn(srv) % 3:
+        while self.manager.slow_start_turn(srv) % 3:
             self.at(S // 20)
         first = takes("cold for all that its list can't tell")
         self.at(0, self.list(1, kind=interface.ListKind.DELTA, started_at=self.now))
-        while (turn := self.manager.pace_turn(srv)) < first + 6:
+        while (turn := self.manager.slow_start_turn(srv)) < first + 6:
             if turn != first and turn != getattr(self, "last", None):
                 self.last = takes("known to be cold")
             self.at(S // 20)
@@ -303,7 +305,7 @@
                 self.start(pack(), servers=1, peers=10, seed=seed, quiet=True)
                 self.plays(1, rung=rung)
                 self.at(5 * S, self.link(1, 1, use))
-                self.lines.append(f"{seed} {self.manager.viewings[1].rung}")
+                self.lines.append(f"{seed} {self.manager.sessions[1].rung}")
         self.compare()
 
     def test_dark_holders_are_drawn_apart_by_managers(self):
@@ -342,7 +344,7 @@
         self.start(pack())
         self.plays(1, 2, 3, rung=0)
         self.at(S, *(self.ended(id, 1, Outcome.RESET, over=True) for id in (1, 2, 3)))
-        self.lines.append(f"pause {(self.manager.servers[1].shut_until - self.now) / S} s")
+        self.lines.append(f"pause {(self.manager.servers[1].backoff_until - self.now) / S} s")
         self.compare()
 
 
@@ -401,7 +403,7 @@
                 ListKind.DELTA, (interface.ServerEntry(4, 1, 0, 0, 1.0, 0, ServerStatus.READY),)
             ),
         )
-        self.lines.append(f"links: {[srv.link.kb for srv in self.manager.servers.values()]}")
+        self.lines.append(f"links: {[srv.link.capacity_kb for srv in self.manager.servers.values()]}")
         self.compare()
 
     def test_crossing_zones_must_earn_more_than_it_costs(self):
@@ -432,8 +434,8 @@
         self.at(S)
         self.lines.append(
             f"further tune-ins counted: {sum(self.manager.retries.retries.since(0))}, "
-            f"asked of links: {[srv.link.own for srv in self.manager.servers.values()]}, "
-            f"of the rack: {[round(m.own, 3) for m in self.manager.racks.values()]}, "
-            f"others' streams: {[srv.others for srv in self.manager.servers.values()]}"
+            f"asked of links: {[srv.link.own_kb for srv in self.manager.servers.values()]}, "
+            f"of the rack: {[round(m.own_kb, 3) for m in self.manager.racks.values()]}, "
+            f"others' streams: {[srv.other_streams for srv in self.manager.servers.values()]}"
         )
         self.compare()
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -55,7 +55,7 @@
             await self.box_rows[1].seen("over", key=lost["key"])
             self.trouble(1, what, 0)
             self.box_rows[1].rows.clear()
-            self.fronts[0].runner.manager.servers[1].shut_until = 0
+            self.fronts[0].runner.manager.servers[1].backoff_until = 0
 
     async def until_box_1_was_drawn(self):
         for _ in range(40):
@@ -91,7 +91,7 @@
         await self.log[0].seen("over", 20, how="reset")
         front = self.fronts[0]
         self.assertEqual((0, {}), (len(front.viewings), front.runner.sessions))
-        self.assertEqual(0, sum(len(s.viewings) for s in front.runner.manager.servers.values()))
+        self.assertEqual(0, sum(len(s.sessions) for s in front.runner.manager.servers.values()))
         for s in seen:
             gone = await self.player.end(front.address, s.location)
             self.assertEqual(404, gone.status)
--- a/tests/test_hunt.py
+++ b/tests/test_hunt.py
@@ -144,21 +144,21 @@
         crash = [TroubleRow(at_s=5, what="drain", for_s=9, boxes=list(range(9)))]
         policy = "flaxscale.decide.Manager."
         for name, planted, troubles, kind in (
-            ("in_pace", lambda self, srv: True, crowd, "rule 4"),
+            ("slow_start_allows", lambda self, srv: True, crowd, "rule 4"),
             (
                 "has_seat",
                 lambda self, seat, holders=(): True,
                 [TroubleRow(at_s=5, what="crowd", for_s=9, value=4, titles=["quay-cam"])],
                 "rule 5",
             ),
-            ("listed", None, crash, "rule 3"),
+            ("update_server", None, crash, "rule 3"),
         ):
             sound = judge.played(day, 2, troubles)[0]
             self.assertEqual((), sound.breaks, name)
             if planted is None:
                 from flaxscale.decide import Manager
 
-                whole = Manager.listed
+                whole = Manager.update_server
 
                 def planted(self, row, whole=whole):
                     if row.state.name != "DRAINING":
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -136,7 +136,7 @@
         self.assertEqual(0, Play(day, 2).run().totals()["fell"])
         play = Play(day, 2)
         for manager in play.managers:
-            manager.runner.manager.in_pace = lambda srv: True
+            manager.runner.manager.slow_start_allows = lambda srv: True
         self.assertGreater(play.run().totals()["fell"], 0)
 
     def test_intervals_and_paired_comparison(self):
--- a/tests/test_peaks_plan.py
+++ b/tests/test_peaks_plan.py
@@ -255,7 +255,7 @@
         self.assertGreater(kept, 0)
         for manager in play.managers:
             self.assertLessEqual(
-                max(r.kept for r in manager.runner.manager.racks.values()), 0.6 * day.site.fleet.uplink_kb + 1
+                max(r.reserved_kb for r in manager.runner.manager.racks.values()), 0.6 * day.site.fleet.uplink_kb + 1
             )
         self.assertEqual([], play.faults)
 
--- a/tests/test_peaks_service.py
+++ b/tests/test_peaks_service.py
@@ -201,7 +201,8 @@
             await log.seen("room kept")
         self.assertTrue(all(self.rooms(m) > 0 for m in (0, 1)))
         module = self.fronts[0].runner.manager
-        self.assertTrue(module.servers[1].kept > 0 and module.servers[3].kept == 0)  # box 3 does not hold it
+        # Box 3 does not hold the title.
+        self.assertTrue(module.servers[1].reserved_kb > 0 and module.servers[3].reserved_kb == 0)
         self.assertEqual("plays", (await self.ask("cam")).fate)
         self.assertEqual("plays", (await self.ask("one")).fate)
         self.assertEqual(2, (await self.say(cancel="eid")).version)
@@ -209,7 +210,7 @@
         for log in self.log:
             await log.seen("room kept", 2)
         self.assertEqual([0, 0], [self.rooms(m) for m in (0, 1)])
-        self.assertEqual(0, module.servers[1].kept)
+        self.assertEqual(0, module.servers[1].reserved_kb)
 
     async def test_the_service_dies_and_the_announcement_lives_at_managers_and_in_its_store(self):
         await self.announce()
--- a/tests/test_platform_crossings.py
+++ b/tests/test_platform_crossings.py
@@ -359,7 +359,7 @@
         await self.seen("open", who=1)
         await self.turn()
         self.assertEqual([], self.all("offer", who=1))
-        self.assertFalse(self.host.runner.manager.servers[1].ills)
+        self.assertFalse(self.host.runner.manager.servers[1].failures)
 
     async def test_a_set_up_that_waits_for_its_connection_never_goes_once_its_client_left(self):
         await self.leaves_while_its_connection_is_made(True)
@@ -394,7 +394,7 @@
                     {interface.Outcome.MOOT}, {e.outcome for e in heard if isinstance(e, interface.AttemptEnded)}
                 )
                 server = self.host.runner.manager.servers[1]
-                self.assertEqual((0, 0, None), (server.ills, server.shut_until, server.doubt_at))
+                self.assertEqual((0, 0, None), (server.failures, server.backoff_until, server.failed_at))
                 self.assertEqual(0, self.host.servers.endpoints[1].fails)
 
     async def test_an_error_of_the_way_counts_against_the_server_and_proves_nothing_else(self):
@@ -406,7 +406,7 @@
         for number in (errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ETIMEDOUT):
             with self.subTest(errno=errno.errorcode[number]):
                 heard.clear()
-                endpoint.fails = server.ills = server.shut_until = 0
+                endpoint.fails = server.failures = server.backoff_until = 0
                 self.fail_dials(number)
                 conn = await self.viewer()
                 call = self.ask(conn, left=300)
@@ -415,7 +415,7 @@
                     {interface.Outcome.UNREACHED}, {e.outcome for e in heard if isinstance(e, interface.AttemptEnded)}
                 )
                 self.assertEqual((True, 0), (endpoint.fails > 0, endpoint.refusals))
-                self.assertTrue(server.shut_until)
+                self.assertTrue(server.backoff_until)
 
     async def test_a_connection_that_breaks_for_want_of_memory_here_is_no_failure_of_its_server(self):
         await self.one_out()
@@ -426,7 +426,7 @@
         self.assertEqual(
             [interface.Outcome.CANCELLED], [e.outcome for e in heard if isinstance(e, interface.AttemptEnded)]
         )
-        self.assertEqual(0, self.host.runner.manager.servers[1].ills)
+        self.assertEqual(0, self.host.runner.manager.servers[1].failures)
 
     async def test_a_connection_whose_end_was_read_takes_no_set_up(self):
         await self.server(1)
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -84,7 +84,7 @@
         self.assertEqual([interface.AttemptSucceeded, interface.PlaybackNote], [type(e) for e in self.events[-2:]])
         self.assertTrue(self.runner.attempt_ended(1, 0, Outcome.OK, 5 * S))
         self.assertFalse(self.runner.attempt_ended(1, 0, Outcome.OK, 5 * S))
-        self.assertEqual(({}, {}), (self.runner.sessions, self.runner.manager.viewings))
+        self.assertEqual(({}, {}), (self.runner.sessions, self.runner.manager.sessions))
 
     def test_silence_expires_and_the_next_box_gets_its_chance(self):
         self.start()
@@ -122,7 +122,7 @@
                 [row[0] for row in self.port.did if row[0] in ("abandon", "end")],
             )
             self.assertEqual(1, len(self.did("answer")))
-            self.assertEqual(({}, {}), (self.runner.sessions, self.runner.manager.viewings), step)
+            self.assertEqual(({}, {}), (self.runner.sessions, self.runner.manager.sessions), step)
 
     def test_a_client_that_left_where_nothing_can_be_called_off(self):
         self.start()
@@ -133,7 +133,7 @@
         self.assertTrue(self.runner.attempt_succeeded(1, 0, 700))
         self.assertEqual([("end", 1, 0, self.did("tune_in")[0][3])], self.did("end"))
         self.assertEqual([AnswerKind.LEFT], [row[2] for row in self.did("answer")])
-        self.assertEqual(({}, {}), (self.runner.sessions, self.runner.manager.viewings))
+        self.assertEqual(({}, {}), (self.runner.sessions, self.runner.manager.sessions))
 
     def test_a_module_that_asks_for_what_it_may_not_is_a_fault_and_changes_nothing(self):
         self.start()
@@ -187,7 +187,9 @@
         self.runner.probe_ended(2, Outcome.OK, 30, (5.0, 0.2, 0.1))
         self.assertEqual(
             (0.2, None),
-            tuple(srv.link.heard_at and srv.link.base for srv in map(self.runner.manager.servers.get, (2, 1))),
+            tuple(
+                srv.link.reported_at and srv.link.reported_use for srv in map(self.runner.manager.servers.get, (2, 1))
+            ),
         )
 
     def test_every_action_has_somewhere_to_go(self):
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -95,7 +95,7 @@
                 self.at(time + 200, self.begun, n, self.lives[n], action.id)
 
     def begun(self, time, n, life, id):
-        if life == self.lives[n] and (session := self.managers[n].viewings.get(id)):
+        if life == self.lives[n] and (session := self.managers[n].sessions.get(id)):
             self.hand(time, n, interface.AttemptSucceeded(id, session.nth, SERVER, 200))
 
 
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -66,7 +66,7 @@
         self.assertEqual("unsafe", front.runner.manager.terms.packages[0].effect)
         seen = [await t for t in out]
         for srv in front.runner.manager.servers.values():  # what notes told is not fresh any more
-            srv.link.heard_at = None
+            srv.link.reported_at = None
         later = [await self.ask("one") for _ in range(2)]
         self.assertTrue([r for n in self.boxes for r in self.box_rows[n].all("probed")])
         out = await self.asks(3)
--- a/tests/test_titles.py
+++ b/tests/test_titles.py
@@ -64,7 +64,7 @@
         self.plays(1, server=1, rung=2)
         self.at(0, self.ask(2))
         self.at(600, told(2, 3, top=0), say="all but rung 0 is withdrawn")
-        server = self.manager.viewings[2].server.row.server
+        server = self.manager.sessions[2].server.row.server
         self.at(100, self.begun(2, server), say="it begins at a rung that is no more")
         self.plays(3, server=1, rung=0)
         self.at(0, told(2, 3, low=1, top=1), say="only rung 1 is left")
