--- a/flaxscale/decide.py
+++ b/flaxscale/decide.py
@@ -12,7 +12,7 @@
 from .decisions.capacity import CapacityAccount
 from .decisions.chance import Chance
 from .decisions.deadlines import ATTEMPT_LEAST, BEAT, Standstills, attempt_until
-from .decisions.others import OthersLoad
+from .decisions.peer_load import OthersLoad
 from .decisions.renditions import MARK, rendition_steps
 from .decisions.retries import RetryBudget
 from .decisions.seats import Seats
