--- a/flaxscale/decisions/__init__.py
+++ b/flaxscale/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""The parts of the decision on sessions. No I/O, clock, wire or global state; `decide.Manager` puts them together."""
+"""The parts of the decisions on sessions, combined by decide.Manager. No I/O, clock, wire or global state."""
--- a/flaxscale/decisions/retries.py
+++ b/flaxscale/decisions/retries.py
@@ -1,32 +1,32 @@
-"""The budget of retries: in any window of the stated length a few, plus a share of the sessions taken (rule 6)."""
+"""The retry budget: in any window of the given length a fixed number, plus a share of the session requests (rule 6)."""
 
 from ..interface import RuleTerms
 from ..units import SECOND
 from .windows import BucketWindow
 
-BUCKETS = 64
-BUCKETS_A_SPAN = 60  # so that what the oldest bucket rounds away stays a sixtieth of the span
-BUCKET_LEAST = SECOND // 2
+BUCKET_COUNT = 64
+BUCKETS_PER_SPAN = 60  # the oldest bucket is rounded away: a sixtieth of the span
+MIN_BUCKET_WIDTH = SECOND // 2
 
 
 class RetryBudget:
-    """Counts sessions and retries; the rules that bound them may change in service, what was counted stays."""
+    """Counts session requests and retries. The rules may change in service; the counts are kept."""
 
     def __init__(self, rules: RuleTerms) -> None:
-        width = max(BUCKET_LEAST, -(-(rules.retry_window or 0) // BUCKETS_A_SPAN))
-        self.sessions, self.retries = BucketWindow(width, BUCKETS), BucketWindow(width, BUCKETS)
-        self.longest_span = BUCKETS_A_SPAN * width  # of new rules: what is older was not counted
+        width = max(MIN_BUCKET_WIDTH, -(-(rules.retry_window or 0) // BUCKETS_PER_SPAN))
+        self.sessions, self.retries = BucketWindow(width, BUCKET_COUNT), BucketWindow(width, BUCKET_COUNT)
+        self.longest_span = BUCKETS_PER_SPAN * width  # the longest that new rules may name: older counts are not kept
 
-    def session(self, now: int) -> None:
+    def count_session(self, now: int) -> None:
         self.sessions.add(now, 1)
 
-    def retry(self, now: int) -> None:
+    def count_retry(self, now: int) -> None:
         self.retries.add(now, 1)
 
     def allows(self, now: int, rules: RuleTerms) -> bool:
         """Whether one more retry stays within the budget.
 
-        The oldest bucket counts whole against us and not at all for us, so that the budget holds in any window.
+        Of the oldest bucket all retries count, but no sessions, so that the budget holds in any window.
         """
         if rules.retry_window is None:
             return True
--- a/flaxscale/decisions/seats.py
+++ b/flaxscale/decisions/seats.py
@@ -1,6 +1,6 @@
-"""Admission per title: how many sessions of one title and class this manager may hold (rule 5).
+"""Admission per title: how many sessions of one title and package this manager may hold (rule 5).
 
-A seat is taken from an attempt until its outcome, also when the client left meanwhile.
+A seat is taken from the start of an attempt until its outcome, also if the client leaves meanwhile.
 """
 
 from collections import Counter
@@ -8,16 +8,16 @@
 
 
 class Seats:
-    """By (title, class). `taken` counts attempts and sessions of ours; claims are those that may yet become ours."""
+    """By (title, package). taken: our attempts and sessions. claims: sessions that may become ours by a claim."""
 
     def __init__(self) -> None:
         self.taken: Counter[tuple[int, int]] = Counter()
         self.claims: Mapping[tuple[int, int], int] = {}
-        self.unheard: Collection[int] = ()  # servers that may play what an earlier life of ours left, unknown to us
+        self.unreported_servers: Collection[int] = ()  # that may play sessions from before our restart
 
-    def reserve(self, claims: Mapping[tuple[int, int], int], unheard: Collection[int]) -> None:
-        """What claims may take, and which servers have not told yet what they play for us; until told anew."""
-        self.claims, self.unheard = claims, unheard
+    def reserve(self, claims: Mapping[tuple[int, int], int], unreported_servers: Collection[int]) -> None:
+        """Sets the seats that claims may take, and the servers that have not reported yet what they play for us."""
+        self.claims, self.unreported_servers = claims, unreported_servers
 
     def take(self, seat: tuple[int, int]) -> None:
         self.taken[seat] += 1
@@ -27,8 +27,8 @@
         if not self.taken[seat]:
             del self.taken[seat]
 
-    def has_room(self, seat: tuple[int, int], most: int, hidden: bool) -> bool:
-        """Whether one more is within `most` (0: any number). hidden: others may be held that we don't know of."""
-        if not most:
+    def has_room(self, seat: tuple[int, int], limit: int, may_hold_unknown: bool) -> bool:
+        """Whether one more is within the limit (0: unlimited). may_hold_unknown: unknown sessions may hold seats."""
+        if not limit:
             return True
-        return not hidden and self.taken[seat] + self.claims.get(seat, 0) < most
+        return not may_hold_unknown and self.taken[seat] + self.claims.get(seat, 0) < limit
--- a/flaxscale/decisions/state.py
+++ b/flaxscale/decisions/state.py
@@ -1,4 +1,4 @@
-"""What a manager holds of one server and of one session."""
+"""The state that a manager keeps of one server and of one session."""
 
 from collections.abc import Generator
 from typing import Any
@@ -7,58 +7,74 @@
 from ..units import SECOND
 from .capacity import CapacityAccount
 
-SERVES = 5 * SECOND  # a server that answered well so lately serves
-LOOK_UP = 4 * SECOND  # what plays lowest is looked after so long after its last step, then 3 times that
+SERVING_WINDOW = 5 * SECOND  # a server that completed an attempt this recently serves
+# A session at its lowest rung has its server probed so long after its last change of rung; 3 times as long each time.
+FIRST_UPGRADE_PROBE = 4 * SECOND
 
 
 class ServerState:
-    """One media server: its list row, its accounts, its health and its slow start."""
+    """One media server: its list row, its load accounts, its health and its slow start.
+
+    sessions: ours, by id. failures: halved by a success. backoff_until, paused_until: no attempt before, after
+    failures, and after the answer full or short delivery. shed_at: the last step down. failed_at: the last failure,
+    None after a success. cold_until: it is in slow start until then. last_turn: the last slow-start turn used.
+    seen_warm: it has carried load of peers. short_delivery_at, short_delivery_since: the latest report of short
+    delivery, and the start of an unbroken series; demand_ratio: load by capacity, as the latest shows it.
+    probe_pending: a probe is out. other_streams: of peers, as last reported. usable: takes an attempt, as computed in
+    event number usable_event. reserved_kb: kB a second for announced peaks.
+    """
 
     def __init__(self, row: ServerEntry, link: CapacityAccount) -> None:
         self.row, self.link = row, link
         self.rack: CapacityAccount
         self.sessions: dict[int, SessionState] = {}
-        self.failures = self.backoff_until = self.paused_until = self.shed_at = 0  # ills: failures, halved by good
+        self.failures = self.backoff_until = self.paused_until = self.shed_at = 0
         self.failed_at: int | None = None
-        self.cold_until = 0  # doubt: seen failing then, not seen working since
+        self.cold_until = 0
         self.last_turn: int | None = None
-        self.seen_warm = False  # last turn of the pace used; it carried others' sessions
-        self.well_at = -SERVES  # when it last answered well
-        self.short_at = self.short_since = 0
-        self.asked: float = 0  # short delivery: last told, since when, how short
-        self.looking, self.other_streams = False, 0  # a probe of it is out; others' streams, as last reported
-        self.judged, self.usable, self.reserved_kb = -1, False, 0.0  # in which call; how; kB kept for a peak
+        self.seen_warm = False
+        self.succeeded_at = -SERVING_WINDOW  # last completed attempt
+        self.short_delivery_at = self.short_delivery_since = 0
+        self.demand_ratio: float = 0
+        self.probe_pending, self.other_streams = False, 0
+        self.usable_event, self.usable, self.reserved_kb = -1, False, 0.0
 
     def use(self) -> float:
         return max(self.link.use(), self.rack.use())
 
 
 class SessionState:
-    """One request for a session, from its arrival to its last outcome."""
+    """One session request, from its arrival to its last outcome.
+
+    attempt: number of the last attempt, from 0; -1: none yet. batches_missed: batches in which nothing fitted.
+    maybe_ran_at, maybe_ran_on: when and to which server the last attempt was sent that may have
+    run. coroutine: see Manager.session_coroutine. upgrade_probe_after: time from the last change of rung until the
+    server is probed for free capacity.
+    """
 
-    def __init__(self, ask: SessionRequest, now: int) -> None:
-        self.ask, self.id, self.seat = ask, ask.id, (ask.title, ask.package)
-        self.asked_at, self.sent_at, self.deadline = now, now, now + ask.time_left
-        self.nth = -1
-        self.server: ServerState | None = None  # number of the last attempt; where one is out or it plays
+    def __init__(self, request: SessionRequest, now: int) -> None:
+        self.request, self.id, self.seat = request, request.id, (request.title, request.package)
+        self.requested_at, self.sent_at, self.deadline = now, now, now + request.time_left
+        self.attempt = -1
+        self.server: ServerState | None = None  # of the attempt in progress, or of the playing session
         self.playing = self.answered = self.waiting = False
-        self.held = self.rung = 0  # held: slots in which nothing fitted
-        self.erred: dict[
+        self.batches_missed = self.rung = 0
+        self.error_servers: dict[
             ServerState, tuple[int, int, int | None]
-        ] = {}  # servers that serve and answered it with an error: what they were before
-        self.stepped_at = now
+        ] = {}  # that serve others and refused this: failures, backoff_until and failed_at before
+        self.rung_changed_at = now
         self.begun_at: int | None = None
-        self.pack: Package
-        self.floor = self.top = 0
-        self.ran_at: int | None = None
-        self.ran_near: ServerEntry | None = None  # when and to whom an attempt was sent that may have run
-        self.life: Generator[Any, Any, None]
-        self.look_after = LOOK_UP  # look_after: when its server is looked at for room
+        self.package: Package
+        self.lowest_rung = self.highest_rung = 0
+        self.maybe_ran_at: int | None = None
+        self.maybe_ran_on: ServerEntry | None = None
+        self.coroutine: Generator[Any, Any, None]
+        self.upgrade_probe_after = FIRST_UPGRADE_PROBE
 
-    def bound(self, low: int, top: int) -> None:
-        """The renditions that it may have: its class's and its title's, up to what it can use."""
-        self.floor = max(self.pack.floor, low)
-        self.top = max(self.floor, min(self.ask.top_rung, self.pack.top, top))
+    def limit_rungs(self, lowest_rung: int, highest_rung: int) -> None:
+        """Limits the rungs to those of the package and of the title, up to what the client can use."""
+        self.lowest_rung = max(self.package.floor, lowest_rung)
+        self.highest_rung = max(self.lowest_rung, min(self.request.top_rung, self.package.top, highest_rung))
 
-    def in_bounds(self) -> int:
-        return min(max(self.rung, self.floor), self.top)
+    def clamped_rung(self) -> int:
+        return min(max(self.rung, self.lowest_rung), self.highest_rung)
--- a/flaxscale/decisions/windows.py
+++ b/flaxscale/decisions/windows.py
@@ -1,10 +1,10 @@
-"""Amounts over time, kept in fixed buckets that are used again: memory stays the same however long a manager lives."""
+"""Sums over time in a fixed ring of buckets, so that memory stays constant however long a manager runs."""
 
 from typing import Any
 
 
 class BucketWindow:
-    """Sums of what was added, by buckets of `width`; the last `count` buckets are kept."""
+    """Sums of added amounts by buckets of `width`; the last `count` buckets are kept."""
 
     def __init__(self, width: int, count: int) -> None:
         self.width = width
@@ -12,7 +12,7 @@
         self.newest = -1  # number of the newest bucket
 
     def bucket(self, now: int) -> list[Any]:
-        """[number, sum] of the bucket that this time is in."""
+        """[number, sum] of the bucket that a time is in."""
         number = now // self.width
         found = self.buckets[number % len(self.buckets)]
         if found is None or found[0] != number:
@@ -23,9 +23,9 @@
     def add(self, now: int, amount: float) -> None:
         self.bucket(now)[1] += amount
 
-    def since(self, then: int) -> list[float]:
-        """The sums of all buckets that begin at this time or later."""
-        first = max(0, -(-then // self.width), self.newest - len(self.buckets) + 1)
+    def since(self, start: int) -> list[float]:
+        """The sums of all buckets that begin at a time or later."""
+        first = max(0, -(-start // self.width), self.newest - len(self.buckets) + 1)
         count = len(self.buckets)
         found = ((number, self.buckets[number % count]) for number in range(first, self.newest + 1))
         return [bucket[1] for number, bucket in found if bucket is not None and bucket[0] == number]
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -150,7 +150,7 @@
 
     def test_a_module_that_never_answers_is_answered_for(self):
         self.start()
-        self.runner.manager.seat = lambda vw: None
+        self.runner.manager.queue_or_place = lambda session: None
         self.ask()
         self.later(30_000)
         self.assertEqual([("answer", 1, AnswerKind.ABORTED, None)], self.did("answer"))
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -96,7 +96,7 @@
 
     def begun(self, time, n, life, id):
         if life == self.lives[n] and (session := self.managers[n].sessions.get(id)):
-            self.hand(time, n, interface.AttemptSucceeded(id, session.nth, SERVER, 200))
+            self.hand(time, n, interface.AttemptSucceeded(id, session.attempt, SERVER, 200))
 
 
 def busiest(times, span):
