--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -1,4 +1,4 @@
-"""Traces of decisions: the ordinary path, each rule, each kind of symptom. Read them in traces/."""
+"""Decisions compared with the kept traces in traces/: the ordinary path, each rule, each kind of fault."""
 
 from flaxscale import interface
 from flaxscale.interface import ClientLeft, ListKind, NoteKind, Outcome, PeerLoadChange, PlaybackNote, ServerStatus
@@ -49,8 +49,8 @@
         self.compare()
 
     def test_a_busy_newcomer_does_not_take_its_own_asking_for_everybodys(self):
-        # Half of all links as seen from its own, times 200 managers, said that all was full: so came 681 of 932 blocks
-        # on a day on which all managers had just begun.
+        # The load of peers was estimated from the manager's own alone. Load on half of all links, times 200 managers,
+        # meant that all links were full: 681 of 932 blocks on a day on which all managers had just started.
         self.start(pack(), servers=60, peers=200, uplink_kb=1e6, quiet=True)
         for id in range(1, 31):
             self.at(0, *self.handed(id, id, rung=0))
@@ -64,7 +64,7 @@
         for id, server in ((1, 1), (2, 1), (3, 2)):
             self.at(0, *self.handed(id, server))
         self.at(2 * S, self.link(1, 1, 0.9), self.link(3, 2, 0.2))
-        use = {rack: round(meter.use(), 3) for rack, meter in self.manager.racks.items()}
+        use = {rack: round(account.use(), 3) for rack, account in self.manager.racks.items()}
         self.lines.append(f"use of uplinks, the third from the usual of links: {use}")
         self.at(0, self.ask(4), self.ask(5), say="to the rack that is least used, not to the busy one")
         self.at(S)
@@ -120,13 +120,14 @@
         self.compare()
 
     def test_servers_replaced_while_they_play_for_us_leave_nothing_behind(self):
-        # Kept for the viewing that still played when its server went, each made its rack look busier for good.
+        # A server that is gone is kept while a session plays there. Each one that was kept after that made its rack
+        # look busier for good.
         self.start(pack(), servers=2, peers=2, uplink_kb=20_000.0, slots=(30,))
         for n in range(1, 25):
             self.at(0, *self.handed(n, n), self.link(n, n, 0.5), self.list(n + 2, kind=ListKind.DELTA))
             self.at(S, self.list(n, kind=ListKind.DELTA, state=ServerStatus.GONE))
             self.at(S, self.ended(n, n, Outcome.RESET, over=True))
-        # Gone under a cell that nobody had: no fault, and forgotten.
+        # A removal that names an unknown cell must not fail, and must remove the server.
         gone = self.list(26, kind=ListKind.DELTA, state=ServerStatus.GONE)
         self.at(0, gone._replace(entries=(gone.entries[0]._replace(cell=77),)), self.list(26, kind=ListKind.DELTA))
         rack = self.manager.racks[0]
@@ -136,7 +137,8 @@
         self.compare()
 
     def test_what_servers_that_serve_refuse_alike_is_its_own_fault(self):
-        # Each impossible set-up shut every holder for seconds, and made it count as cold, five tune-ins at a time.
+        # Each impossible request, with five attempts, put every holder into backoff for seconds and made it count as
+        # cold.
         self.start(pack(), slots=(30,))
         for id in (1, 2, 3):
             self.at(0, self.ask(id, cells=1, first=id - 1))
@@ -144,19 +146,20 @@
         self.at(0, self.ask(20), say="impossible: an error at one, then at another, and no third is asked")
         self.at(500)
         for nth in range(2):
-            server = self.manager.sessions[20].server.row.server
-            self.at(10, self.ended(20, server, Outcome.ERROR, nth=nth))
-        for server, srv in sorted(self.manager.servers.items()):
+            server_id = self.manager.sessions[20].server.row.server
+            self.at(10, self.ended(20, server_id, Outcome.ERROR, nth=nth))
+        for server_id, server in sorted(self.manager.servers.items()):
             self.lines.append(
-                f"{server}: ills {srv.failures}, shut {srv.backoff_until > self.now}, cold {self.manager.is_cold(srv)}"
+                f"{server_id}: ills {server.failures}, shut {server.backoff_until > self.now}, "
+                f"cold {self.manager.is_cold(server)}"
             )
         self.at(6 * S, self.ask(21), say="none of them served within 5 s: each error counts against its server")
         self.at(500)
         for nth in range(2):
-            server = self.manager.sessions[21].server.row.server
-            self.at(10, self.ended(21, server, Outcome.ERROR, nth=nth))
+            server_id = self.manager.sessions[21].server.row.server
+            self.at(10, self.ended(21, server_id, Outcome.ERROR, nth=nth))
         self.lines.append(
-            f"shut {sorted(n for n, srv in self.manager.servers.items() if srv.backoff_until > self.now)}"
+            f"shut {sorted(n for n, server in self.manager.servers.items() if server.backoff_until > self.now)}"
         )
         self.compare()
 
@@ -169,24 +172,25 @@
         self.compare()
 
     def test_a_share_taken_before_the_list_told_counts_for_the_turns_after_it(self):
-        # A restarted manager took its share at once, and its turn a moment after its list had told that the server had
-        # just started: with the others' turns one set-up too many, and a cold server fell (found by the hunt).
+        # A restarted manager used its share at once, and its turn just after its list had shown that the server had
+        # just started. With the turns of its peers that was one attempt too many, and a cold server failed (found by
+        # the hunt).
         self.start(pack(), warm=False, servers=1, peers=3, me=1)
-        srv = self.manager.servers[1]
+        server = self.manager.servers[1]
 
-        def takes(say):
-            turn, may = self.manager.slow_start_turn(srv), self.manager.slow_start_allows(srv)
-            self.lines.append(f"{say}: turn {turn % 3} of 3, {'taken' if may else 'not ours'}")
-            srv.last_turn = turn if may else srv.last_turn
+        def use_turn(label):
+            turn, allowed = self.manager.slow_start_turn(server), self.manager.slow_start_allows(server)
+            self.lines.append(f"{label}: turn {turn % 3} of 3, {'taken' if allowed else 'not ours'}")
+            server.last_turn = turn if allowed else server.last_turn
             return turn
 
-        while self.manager.slow_start_turn(srv) % 3:
+        while self.manager.slow_start_turn(server) % 3:
             self.at(S // 20)
-        first = takes("cold for all that its list can't tell")
+        first = use_turn("cold for all that its list can't tell")
         self.at(0, self.list(1, kind=interface.ListKind.DELTA, started_at=self.now))
-        while (turn := self.manager.slow_start_turn(srv)) < first + 6:
+        while (turn := self.manager.slow_start_turn(server)) < first + 6:
             if turn != first and turn != getattr(self, "last", None):
-                self.last = takes("known to be cold")
+                self.last = use_turn("known to be cold")
             self.at(S // 20)
         self.compare()
 
@@ -245,7 +249,7 @@
         self.compare()
 
     def test_a_weak_uplink_that_nobody_reports_shows_in_shares_that_no_link_explains(self):
-        # A rack whose uplink gave half drew a third of all set-ups, as its links looked the emptiest.
+        # A rack whose uplink delivered half attracted a third of all attempts, as its links showed the least use.
         for link, other in ((0.3, ()), (1.7, ()), (0.3, self.handed(5, 3))):
             self.start(pack(top=1), racks=2, peers=3, uplink_kb=6000.0)
             self.at(0, *self.handed(1, 1), *self.handed(2, 2), *other)
@@ -261,7 +265,7 @@
             self.at(S, short, self.ask(3), self.ask(4))
             for later in (S // 2, 14 * S):
                 self.at(later)
-                use = {rack: round(meter.use(), 2) for rack, meter in self.manager.racks.items()}
+                use = {rack: round(account.use(), 2) for rack, account in self.manager.racks.items()}
                 self.lines.append(f"{later // S} s after the last note the uplinks are taken to be at {use}")
         self.compare()
 
@@ -349,7 +353,7 @@
 
 
 class Probes(Drive):
-    """Where load reports come with probes only, and other shapes of a deployment."""
+    """Deployments where load reports come with probes only, and other variants."""
 
     def test_holders_are_probed_while_a_viewing_waits_and_the_roomiest_takes_it(self):
         self.start(pack(), probes=True, peers=50)
@@ -371,7 +375,7 @@
         self.compare()
 
     def test_a_box_whose_streams_are_all_taken_gets_nothing_though_its_link_has_room(self):
-        # Two in five full answers of a bad day came from boxes whose probe had just told so.
+        # Two in five `full` answers of a bad day came from servers whose probe had just shown that they were full.
         self.start(pack(), servers=2, probes=True, peers=50)
         self.at(0, self.ask(1, cells=2))
         self.at(100, self.looked(1, 0.2, streams=7.6), self.looked(2, 0.6, streams=6.9), say="eight at most")
@@ -403,7 +407,7 @@
                 ListKind.DELTA, (interface.ServerEntry(4, 1, 0, 0, 1.0, 0, ServerStatus.READY),)
             ),
         )
-        self.lines.append(f"links: {[srv.link.capacity_kb for srv in self.manager.servers.values()]}")
+        self.lines.append(f"links: {[server.link.capacity_kb for server in self.manager.servers.values()]}")
         self.compare()
 
     def test_crossing_zones_must_earn_more_than_it_costs(self):
@@ -434,8 +438,8 @@
         self.at(S)
         self.lines.append(
             f"further tune-ins counted: {sum(self.manager.retries.retries.since(0))}, "
-            f"asked of links: {[srv.link.own_kb for srv in self.manager.servers.values()]}, "
-            f"of the rack: {[round(m.own_kb, 3) for m in self.manager.racks.values()]}, "
-            f"others' streams: {[srv.other_streams for srv in self.manager.servers.values()]}"
+            f"asked of links: {[server.link.own_kb for server in self.manager.servers.values()]}, "
+            f"of the rack: {[round(account.own_kb, 3) for account in self.manager.racks.values()]}, "
+            f"others' streams: {[server.other_streams for server in self.manager.servers.values()]}"
         )
         self.compare()
--- a/tests/test_seats.py
+++ b/tests/test_seats.py
@@ -1,4 +1,4 @@
-"""Seats that are taken without the module: claims that are out, and what an earlier life of a manager left playing."""
+"""Seats taken outside of the decisions: pending claims, and sessions from before a manager's restart."""
 
 import asyncio
 import unittest
@@ -13,24 +13,24 @@
 from tests.test_day import Played
 
 
-class Book(unittest.TestCase):
-    def test_what_is_counted_and_until_when(self):
+class SeatBookCounts(unittest.TestCase):
+    def test_claims_and_unreported_boxes_are_counted_until_the_lease_ends(self):
         book = SeatBook(100 * S, 4 * S)
         self.assertTrue(book.listed([1, 2], 100 * S))
         self.assertFalse(book.listed([1, 2], 100 * S))
         self.assertTrue(book.claim("a", (9, 0)) and book.claim("b", (9, 0)))
-        self.assertFalse(book.claim("a", (9, 0)))  # asked for again: one seat all the same
+        self.assertFalse(book.claim("a", (9, 0)))  # claimed again: still one seat
         self.assertEqual(({(9, 0): 2}, {1, 2}), book.reserved(100 * S))
         book.said(1)
         self.assertTrue(book.settled("a"))
         self.assertFalse(book.settled("a"))
         self.assertEqual(({(9, 0): 1}, {2}), book.reserved(104 * S + DRIFT - 1))
         self.assertEqual(({(9, 0): 1}, set()), book.reserved(104 * S + DRIFT))
-        self.assertFalse(book.listed([3], 104 * S + DRIFT))  # its lease is over too: it has nothing of ours
-        self.assertFalse(book.listed([1], 101 * S))  # it has said already
+        self.assertFalse(book.listed([3], 104 * S + DRIFT))  # its lease has ended too: it plays nothing of ours
+        self.assertFalse(book.listed([1], 101 * S))  # it has reported already
 
 
-class Decided(Drive):
+class SeatDecisions(Drive):
     def test_seats_that_claims_or_an_earlier_life_may_take_are_not_given(self):
         self.start(pack(seats=2), pack())
         self.at(
@@ -52,13 +52,13 @@
         self.at(2_000)
         self.compare()
 
-    def test_a_young_session_that_is_taken_up_does_not_prove_that_its_server_is_warm(self):
+    def test_a_young_session_taken_over_does_not_prove_that_its_server_is_warm(self):
         for age, warm in ((5 * S, False), (10 * S, True)):
             self.start(pack(), warm=False, quiet=True)
             self.at(0, interface.SessionHandedOver(self.ask(1), 2, age))
             self.assertEqual(warm, self.manager.servers[2].seen_warm)
 
-    def test_what_is_taken_up_is_not_counted_on_top_of_a_figure_that_has_it(self):
+    def test_a_session_taken_over_is_not_added_to_a_report_that_includes_it(self):
         self.start(pack())
         self.plays(1, server=1, rung=2)
         self.at(0, self.link(1, 1, 0.5))
@@ -67,30 +67,30 @@
         self.assertEqual(use, self.manager.servers[1].use())
 
 
-class Returned(Rig):
-    """A manager that comes back while boxes of its hang."""
+class RestartedManager(Rig):
+    """A manager restarts while some of its boxes hang."""
 
     terms = Rig.terms.replace('"lease_ms": 1000', '"lease_ms": 8000')
 
     def setUp(self):
-        self.leases = []  # (box, manager, life) that began after the kill
+        self.leases = []  # (box, manager, life) of leases that began after the kill
 
-    def count(self):
+    def playing_sessions(self):
         return sum(s.title == "cam" for box in self.boxes.values() for s in box.box.sessions.values())
 
-    async def come_back(self, hung):
+    async def restart_manager(self, choose_hung):
         first, log = self.fronts.pop(), self.log.pop()
         seen = [await self.player.ask(first.address, "m0", self.wish("cam")) for _ in range(3)]
         self.assertEqual(["plays"] * 3, [s.fate for s in seen])
-        played_at = {b for b, box in self.boxes.items() if box.box.sessions}
-        for b in hung(played_at):
+        boxes_played_at = {b for b, box in self.boxes.items() if box.box.sessions}
+        for b in choose_hung(boxes_played_at):
             self.trouble(b, "hang")
         self.leases.clear()
         await Talking.kill_front(first)
         self.most = 0
 
         def watch(row):
-            self.most = max(self.most, self.count())
+            self.most = max(self.most, self.playing_sessions())
             return False
 
         for rows in self.box_rows.values():
@@ -104,34 +104,34 @@
         await self.listed(front, log)
         return front, log
 
-    async def test_no_newcomer_is_seated_until_the_hung_box_has_said_what_it_has(self):
-        front, log = await self.come_back(lambda played_at: {min(played_at)})
+    async def test_no_new_session_gets_a_seat_until_the_hung_box_has_reported(self):
+        front, log = await self.restart_manager(lambda boxes_played_at: {min(boxes_played_at)})
         self.assertEqual(["blocked"] * 2, [(await self.ask("cam")).fate for _ in range(2)])
         for b in self.boxes:
             self.trouble(b, "hang", 0)
-        await self.until(lambda: len(front.viewings) == 3, "all three are taken up")
+        await self.until(lambda: len(front.viewings) == 3, "all three are taken over")
         self.assertEqual("blocked", (await self.ask("cam")).fate)
-        self.assertEqual((3, 3), (self.most, self.count()))
+        self.assertEqual((3, 3), (self.most, self.playing_sessions()))
         self.assertFalse(front.members.book.reserved(0).boxes)
 
-    async def test_after_the_lease_the_seats_of_a_box_that_stays_silent_are_free(self):
+    async def test_the_seats_of_a_silent_box_are_free_after_the_lease(self):
         leases = self.leases
         for box in self.boxes.values():
             box.lease, begin = 4_000, box.begin_lease
             box.begin_lease = lambda *life, begin=begin, box=box: (leases.append((box, *life)), begin(*life))
-        front, log = await self.come_back(lambda played_at: {min(played_at)})
-        for box in self.boxes.values():  # a stream of the new life neither ends nor begins that lease anew
+        front, log = await self.restart_manager(lambda boxes_played_at: {min(boxes_played_at)})
+        for box in self.boxes.values():  # a stream of the restarted manager neither ends nor restarts that lease
             front.boxes.keep_stream(box.box.place.id)
         await self.until(lambda: any(rows.all("over", how="lease") for rows in self.box_rows.values()), "a lease ends")
         self.assertEqual(len(leases), len(set(leases)))
-        free = 3 - self.count()
+        free = 3 - self.playing_sessions()
         self.assertTrue(free)
-        front.members.book.until = 0  # as when the span has passed by our clock too
+        front.members.book.until = 0  # as if the span had passed by the manager's clock too
         front.members.reserve()
         self.assertEqual(["plays"] * free + ["blocked"], [(await self.ask("cam")).fate for _ in range(free + 1)])
         self.assertEqual(3, self.most)
 
-    async def test_a_claim_whose_answer_is_lost_is_asked_for_again_and_held_once(self):
+    async def test_a_claim_whose_answer_is_lost_is_repeated_and_counted_once(self):
         lost = []
 
         def claims(box):
@@ -148,15 +148,15 @@
 
         for box in self.boxes.values():
             claims(box)
-        front, log = await self.come_back(lambda played_at: ())
-        await self.until(lambda: len(front.viewings) == 3, "all three are taken up")
+        front, log = await self.restart_manager(lambda boxes_played_at: ())
+        await self.until(lambda: len(front.viewings) == 3, "all three are taken over")
         self.assertTrue(lost[0])
-        self.assertEqual((3, 3), (self.count(), sum(front.runner.manager.seats.taken.values())))
+        self.assertEqual((3, 3), (self.playing_sessions(), sum(front.runner.manager.seats.taken.values())))
         self.assertEqual({}, front.members.book.claims)
 
 
-class TakenOver(Talking):
-    """One seat is left where three sessions of a dead manager ask for it."""
+class TakeOverOfOneSeat(Talking):
+    """One seat is free for three sessions of a dead manager."""
 
     managers, boxes_wanted = 2, 1
 
@@ -170,16 +170,16 @@
         await self.kill(0)
         self.fronts.pop(0)
         await self.log[1].seen("member", name="m0", state="dead")
-        await self.until(lambda: len(self.fronts[0].viewings) == 3, "one is held")
+        await self.until(lambda: len(self.fronts[0].viewings) == 3, "one session is taken over")
         await asyncio.gather(*self.fronts[0].members.jobs.values())
-        # The judge counts from the grant: one that is granted only to be ended was one too many.
+        # The checker counts from the grant: a session granted only to be ended would be one too many.
         self.assertEqual(1, len(self.rows("adopted")))
         self.assertEqual("blocked", (await self.ask("cam")).fate)
         for _, writer in media:
             writer.close()
 
 
-class TakenOverFromThree(TakenOver):
+class TakeOverOfOneSeatFromThreeBoxes(TakeOverOfOneSeat):
     boxes_wanted = 3
 
 
