--- a/bench/deaths.py
+++ b/bench/deaths.py
@@ -19,7 +19,7 @@
 
 from bench.front import ROOMY, cpu, machine, quantile, spread
 from bench.inhand import rows_of
-from flaxscale.chance import drawn
+from flaxscale.chance import uniform_from_bytes
 from flaxscale.cli import service
 from flaxscale.lab.players import Player, Wish, trace_of
 from flaxscale.lab.records import Recorder
@@ -237,7 +237,7 @@
         began = loop.time()
         for n in range(round(seconds * rate)):
             # Not in step with the managers' slots, which would make one fleet's round all early and another's all late.
-            await asyncio.sleep(max(0.0, began + (n + 5 * drawn(b"normal:%d" % n)) / rate - loop.time()))
+            await asyncio.sleep(max(0.0, began + (n + 5 * uniform_from_bytes(b"normal:%d" % n)) / rate - loop.time()))
             tasks.append(asyncio.ensure_future(one(first + n)))
         await asyncio.gather(*tasks)
         used = sum(cpu(pid) for _, pid in fronts) - used
--- a/bench/stragglers.py
+++ b/bench/stragglers.py
@@ -19,7 +19,7 @@
 import click
 
 from bench.front import Bench, machine, quantile, rounds, spread
-from flaxscale.chance import drawn
+from flaxscale.chance import uniform_from_bytes
 from flaxscale.cli import logs, service
 from flaxscale.lab.day import DayRun
 from flaxscale.lab.players import Wish, trace_of
@@ -61,7 +61,7 @@
 
     def chance(self):
         self.draws += 1
-        return drawn(b"%d:world:%d" % (self.seed, self.draws))
+        return uniform_from_bytes(b"%d:world:%d" % (self.seed, self.draws))
 
     def at(self, when, act, *args):
         self.draws += 1
--- a/flaxscale/admission/gate.py
+++ b/flaxscale/admission/gate.py
@@ -20,7 +20,7 @@
 from typing import NamedTuple
 from zlib import crc32
 
-from ..chance import drawn
+from ..chance import uniform_from_bytes
 
 SPAN = 1_000  # lag is judged over a tenth of a second
 LAG = 800  # least lag in a span that means overload
@@ -86,7 +86,7 @@
 
     def chance(self):
         self.draws += 1
-        return drawn(b"%d:g:%d" % (self.seed, self.draws))
+        return uniform_from_bytes(b"%d:g:%d" % (self.seed, self.draws))
 
     def hold_off(self, times):
         whole = HOLD << min(max(0, times), DOUBLINGS)
--- a/flaxscale/front/fleet.py
+++ b/flaxscale/front/fleet.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ..audit.account import plain, rows_of_account
-from ..chance import drawn
+from ..chance import uniform_from_bytes
 from ..members import wire as members_wire
 from ..members.adopt import keeper_of
 from ..members.ration import full
@@ -273,7 +273,7 @@
             return
         loop = asyncio.get_running_loop()
         for box in [box for box in self.front.boxes.places if box in self.front.boxes.streams or self.tells(box)]:
-            chance = drawn(b"%d:floor:%d:%d" % (self.front.sense.seed, box, floor))
+            chance = uniform_from_bytes(b"%d:floor:%d:%d" % (self.front.sense.seed, box, floor))
             loop.call_later(chance * TELL_S, self.front.boxes.tell_stamp, box)
 
     def tells(self, box):
--- a/flaxscale/lab/chance.py
+++ b/flaxscale/lab/chance.py
@@ -1,6 +1,6 @@
 """The one door of a day's chance."""
 
-from ..chance import drawn
+from ..chance import uniform_from_bytes
 
 
 class Dice:
@@ -11,7 +11,7 @@
 
     def draw(self):
         self.n += 1
-        return drawn(f"{self.seed}:{self.stream}:{self.n}".encode())
+        return uniform_from_bytes(f"{self.seed}:{self.stream}:{self.n}".encode())
 
     def between(self, pair):
         return pair[0] + (pair[1] - pair[0]) * self.draw()
--- a/flaxscale/leases/holder.py
+++ b/flaxscale/leases/holder.py
@@ -9,7 +9,7 @@
 
 from typing import NamedTuple
 
-from ..chance import drawn
+from ..chance import uniform_from_bytes
 from .terms import RENEWALS
 
 AGAIN = 5_000  # an asking without an answer is given up
@@ -43,7 +43,7 @@
 
     def chance(self):
         self.draws += 1
-        return drawn(b"%d:lease:%d" % (self.seed, self.draws))
+        return uniform_from_bytes(b"%d:lease:%d" % (self.seed, self.draws))
 
     # What is ours to hold
 
--- a/flaxscale/members/swim.py
+++ b/flaxscale/members/swim.py
@@ -16,7 +16,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from ..chance import drawn
+from ..chance import uniform_from_bytes
 
 PERIOD = 5_000  # one probe in each
 ACK_WAIT = 1_500  # then others are asked; the rest of the period is theirs
@@ -104,7 +104,7 @@
 
     def chance(self):
         self.draws += 1
-        return drawn(b"%d:%s:%d" % (self.seed, self.name.encode(), self.draws))
+        return uniform_from_bytes(b"%d:%s:%d" % (self.seed, self.name.encode(), self.draws))
 
     def some(self, items, count):
         items = list(items)
--- a/flaxscale/recovery/owed.py
+++ b/flaxscale/recovery/owed.py
@@ -5,7 +5,7 @@
 after a pause that doubles. All of it is idempotent: an end twice is an end, a rung is told as a figure.
 """
 
-from ..chance import drawn
+from ..chance import uniform_from_bytes
 
 PAUSE, DOUBLINGS = 1_000, 5  # a tenth of a second, up to 3.2 s
 BATCH = 200
@@ -77,7 +77,7 @@
             self.draws += 1
             pause = PAUSE << min(debt.fails, DOUBLINGS)
             # Spread, or all managers of a box that comes back call on it together.
-            chance = drawn(b"%d:%d" % (self.seed, self.draws))
+            chance = uniform_from_bytes(b"%d:%d" % (self.seed, self.draws))
             debt.wait_until = now + pause // 2 + int(chance * (pause // 2))
             return
         debt.fails = debt.wait_until = 0
--- a/flaxscale/recovery/watch.py
+++ b/flaxscale/recovery/watch.py
@@ -9,7 +9,7 @@
 
 from enum import Enum
 
-from ..chance import drawn
+from ..chance import uniform_from_bytes
 
 RETRY, DOUBLINGS = 1_000, 5  # a tenth of a second, up to 3.2 s
 
@@ -52,7 +52,7 @@
         self.fails += 1
         self.draws += 1
         pause = RETRY << min(self.fails - 1, DOUBLINGS)
-        chance = drawn(b"%d:%d:%d" % (self.seed, self.box, self.draws))
+        chance = uniform_from_bytes(b"%d:%d:%d" % (self.seed, self.box, self.draws))
         self.state, self.retry_at = Stream.WAITS, now + pause // 2 + int(chance * (pause // 2))
         return list(playing) if refused or self.gone else []
 
--- a/flaxscale/standins/box.py
+++ b/flaxscale/standins/box.py
@@ -8,7 +8,7 @@
 from collections import deque
 from typing import NamedTuple
 
-from ..chance import drawn
+from ..chance import uniform_from_bytes
 from ..members.adopt import Fence
 
 KEEP_ENDED = 600_000  # a name that was ended before it came is refused this long
@@ -145,7 +145,7 @@
 
     def chance(self):
         self.draws += 1
-        return drawn(b"%d:%d:%d" % (self.seed, self.place.id, self.draws))
+        return uniform_from_bytes(b"%d:%d:%d" % (self.seed, self.place.id, self.draws))
 
     # Warmth and the pace
 
--- a/flaxscale/versions/bringup.py
+++ b/flaxscale/versions/bringup.py
@@ -8,7 +8,7 @@
 
 from typing import NamedTuple
 
-from ..chance import drawn
+from ..chance import uniform_from_bytes
 
 NUDGE = 10_000  # behind for so long: the source is asked again
 NUDGE_AGAIN = 50_000
@@ -40,7 +40,7 @@
 
     def chance(self):
         self.draws += 1
-        return drawn(b"%d:up:%s:%d" % (self.seed, self.name.encode(), self.draws))
+        return uniform_from_bytes(b"%d:up:%s:%d" % (self.seed, self.name.encode(), self.draws))
 
     def look(self, now, since, behind, givers):
         """since: when we were first behind, or None. behind: how many are. givers: names that hold the newest."""
