--- a/flaxscale/decisions/state.py
+++ b/flaxscale/decisions/state.py
@@ -17,8 +17,8 @@
 
     sessions: ours, by id. failures: halved by a success. backoff_until, paused_until: no attempt before, after
     failures, and after the answer full or short delivery. shed_at: the last step down. failed_at: the last failure,
-    None after a success. cold_until: it is in slow start until then. last_turn: the last slow-start turn used.
-    seen_warm: it has carried load of peers. short_delivery_at, short_delivery_since: the latest report of short
+    None after a success. cold_until: end of slow start. last_turn: the last slow-start turn used.
+    seen_warm: has carried load of peers. short_delivery_at, short_delivery_since: the latest report of short
     delivery, and the start of an unbroken series; demand_ratio: load by capacity, as the latest shows it.
     probe_pending: a probe is out. other_streams: of peers, as last reported. usable: takes an attempt, as computed in
     event number usable_event. reserved_kb: kB a second for announced peaks.
@@ -47,9 +47,9 @@
     """One session request, from its arrival to its last outcome.
 
     attempt: number of the last attempt, from 0; -1: none yet. batches_missed: batches in which nothing fitted.
-    maybe_ran_at, maybe_ran_on: when and to which server the last attempt was sent that may have
-    run. coroutine: see Manager.session_coroutine. upgrade_probe_after: time from the last change of rung until the
-    server is probed for free capacity.
+    maybe_ran_at, maybe_ran_on: when and to which server the last attempt was sent that may have run. coroutine: see
+    Manager.session_coroutine. upgrade_probe_after: time from the last change of rung until the server is probed for
+    free capacity.
     """
 
     def __init__(self, request: SessionRequest, now: int) -> None:
@@ -59,9 +59,8 @@
         self.server: ServerState | None = None  # of the attempt in progress, or of the playing session
         self.playing = self.answered = self.waiting = False
         self.batches_missed = self.rung = 0
-        self.error_servers: dict[
-            ServerState, tuple[int, int, int | None]
-        ] = {}  # that serve others and refused this: failures, backoff_until and failed_at before
+        # Servers that serve others and refused this request: failures, backoff_until and failed_at before the refusal.
+        self.error_servers: dict[ServerState, tuple[int, int, int | None]] = {}
         self.rung_changed_at = now
         self.begun_at: int | None = None
         self.package: Package
