--- a/flaxscale/admission/gate.py
+++ b/flaxscale/admission/gate.py
@@ -24,7 +24,8 @@
 
 SPAN = 1_000  # lag is judged over a tenth of a second
 LAG = 800  # least lag in a span that means overload
-LESS, MORE = 0.7, 0.05  # of the rate: kept in an overloaded span, gained in a good one
+LESS = 0.7  # of the rate: kept in an overloaded span
+MORE = 0.05  # of the rate: gained in a good one
 LEAST = 20.0  # requests a second are taken whatever the lag
 OPEN = 3.0  # the gate opens wholly when the rate is so many times what comes
 USUAL = 0.1  # weight of the last answer in the usual one
@@ -32,12 +33,15 @@
 MEAN_EVERY = 10  # spans between two reckonings of what clients ask in the mean
 FORGET = 20_000  # a client's count is halved in each two seconds
 MEMORY = 300_000  # a refusal is known for half a minute: the next one within it doubles the hold-off
-SPARE, MANY = 0.25, 0.6  # of the tokens: left for a further try, for a client over its share
+SPARE = 0.25  # of the tokens: left for a further try
+MANY = 0.6  # of the tokens: left for a client over its share
 SHARE = 2.0  # times the mean of clients lately: more than its share
-TITLE_PART, CHEAP = 0.5, 0.5  # of all taken lately, by worth: a title's crowd; of the usual worth: little
+TITLE_PART = 0.5  # of all taken lately, by worth: a title's crowd
+CHEAP = 0.5  # of the usual worth: little
 ALL = "all"  # the count of what was taken of any title
 WORTH = 0.02  # weight of the last request in the usual worth
-FIRST_HOLD_OFF, DOUBLINGS = 2_000, 5  # the first hold-off, and how often it doubles
+FIRST_HOLD_OFF = 2_000  # the first hold-off, in tenths of a millisecond
+DOUBLINGS = 5  # how often it doubles
 
 
 class Refused(NamedTuple):
--- a/flaxscale/recovery/pending_orders.py
+++ b/flaxscale/recovery/pending_orders.py
@@ -7,7 +7,8 @@
 
 from ..chance import drawn
 
-PAUSE, DOUBLINGS = 1_000, 5  # a tenth of a second, up to 3.2 s
+PAUSE = 1_000  # a tenth of a second
+DOUBLINGS = 5  # up to 3.2 s
 BATCH_SIZE = 200
 MOST = 20_000  # ends kept for one box; past it the oldest go, since a box ends them by itself
 
--- a/flaxscale/recovery/watch.py
+++ b/flaxscale/recovery/watch.py
@@ -11,7 +11,8 @@
 
 from ..chance import drawn
 
-RETRY, DOUBLINGS = 1_000, 5  # a tenth of a second, up to 3.2 s
+RETRY = 1_000  # a tenth of a second
+DOUBLINGS = 5  # up to 3.2 s
 
 
 class StreamState(Enum):
