--- a/flaxscale/recovery/boxes.py
+++ b/flaxscale/recovery/boxes.py
@@ -54,7 +54,7 @@
     """Rows of the list by box id."""
 
     def __init__(self, kinds, zones, cells, warm_within):
-        """kinds, zones: {name: number} of the terms. cells: their count. warm_within: from here on a box is warm."""
+        """kinds, zones: {name: number} of the terms. cells: how many there are. warm_within: uptime of a warm box."""
         self.configure(kinds, zones, cells, warm_within)
         self.rows, self.starts, self.instances, self.version = {}, {}, {}, None
         self.updated_at = None
