--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -55,7 +55,7 @@
             await self.box_rows[1].seen("over", key=lost["key"])
             self.trouble(1, what, 0)
             self.box_rows[1].rows.clear()
-            self.fronts[0].runner.manager.servers[1].shut_until = 0
+            self.fronts[0].runner.manager.servers[1].backoff_until = 0
 
     async def until_box_1_was_drawn(self):
         for _ in range(40):
@@ -91,7 +91,7 @@
         await self.log[0].seen("over", 20, how="reset")
         front = self.fronts[0]
         self.assertEqual((0, {}), (len(front.viewings), front.runner.sessions))
-        self.assertEqual(0, sum(len(s.viewings) for s in front.runner.manager.servers.values()))
+        self.assertEqual(0, sum(len(s.sessions) for s in front.runner.manager.servers.values()))
         for s in seen:
             gone = await self.player.end(front.address, s.location)
             self.assertEqual(404, gone.status)
@@ -374,7 +374,7 @@
     async def test_a_manager_that_is_behind_refuses_at_once_and_says_how_long(self):
         gate = self.fronts[0].gate
         self.assertEqual("plays", (await self.ask(viewer="a")).fate)
-        gate.rate, gate.tokens, gate.token_at = 20.0, 0.0, 1 << 60  # no token comes any more
+        gate.rate, gate.tokens, gate.tokens_at = 20.0, 0.0, 1 << 60  # no token comes any more
         seen = await self.ask(viewer="b")
         self.assertEqual(("blocked", 503), (seen.fate, seen.status))
         self.assertIn("retry-after", seen.headers)
@@ -390,13 +390,13 @@
     async def test_what_may_have_waited_through_a_standstill_is_refused_at_once(self):
         # It looked new: worked on as such, it was answered after its viewer had gone (a stopped manager, on a day).
         front = self.fronts[0]
-        front.still.rang_at -= 30_000  # as when nothing ran for three seconds, of a patience of two
+        front.still.fired_at -= 30_000  # as when nothing ran for three seconds, of a patience of two
         seen = await self.ask()
         self.assertEqual(("blocked", "late"), (seen.fate, json.loads(seen.body)["why"]))
         self.assertLess(seen.after, 2_000)
         self.assertEqual([], [row for box in self.boxes for row in self.setups(box)])
-        front.still.rings(now())
-        front.still.span = 0, 0
+        front.still.timer_fired(now())
+        front.still.last_stall = 0, 0
         self.assertEqual("plays", (await self.ask(viewer="c")).fate)
 
     async def test_who_left_the_door_during_a_standstill_is_not_read_before_who_still_waits(self):
@@ -408,15 +408,15 @@
             one.sendall(self.post(self.wish()))
         for one in asked[:20]:
             one.close()
-        front.still.rang_at -= 30_000
+        front.still.fired_at -= 30_000
         for one in asked[20:]:
             reader, writer = await asyncio.open_connection(sock=one)
             self.assertIn(b"503", await reader.readline())
             writer.close()
         self.assertEqual((20, 4), (front.server.gone_at_door, len(took)))
         self.assertEqual(4, front.counts["turned_away"])
-        front.still.rings(now())
-        front.still.span = 0, 0
+        front.still.timer_fired(now())
+        front.still.last_stall = 0, 0
         self.assertEqual("plays", (await self.ask(viewer="c")).fate)
 
     async def test_a_push_is_judged_by_its_own_packages_patience(self):
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -84,7 +84,7 @@
         self.assertEqual([interface.AttemptSucceeded, interface.PlaybackNote], [type(e) for e in self.events[-2:]])
         self.assertTrue(self.runner.attempt_ended(1, 0, Outcome.OK, 5 * S))
         self.assertFalse(self.runner.attempt_ended(1, 0, Outcome.OK, 5 * S))
-        self.assertEqual(({}, {}), (self.runner.sessions, self.runner.manager.viewings))
+        self.assertEqual(({}, {}), (self.runner.sessions, self.runner.manager.sessions))
 
     def test_an_unanswered_attempt_times_out_and_another_server_is_tried(self):
         self.start()
@@ -122,7 +122,7 @@
                 [row[0] for row in self.port.calls if row[0] in ("abandon_attempt", "end_session")],
             )
             self.assertEqual(1, len(self.calls("answer")))
-            self.assertEqual(({}, {}), (self.runner.sessions, self.runner.manager.viewings), step)
+            self.assertEqual(({}, {}), (self.runner.sessions, self.runner.manager.sessions), step)
 
     def test_a_client_that_leaves_where_attempts_cannot_be_cancelled(self):
         self.start()
@@ -133,7 +133,7 @@
         self.assertTrue(self.runner.attempt_succeeded(1, 0, 700))
         self.assertEqual([("end_session", 1, 0, self.calls("start_attempt")[0][3])], self.calls("end_session"))
         self.assertEqual([AnswerKind.LEFT], [row[2] for row in self.calls("answer")])
-        self.assertEqual(({}, {}), (self.runner.sessions, self.runner.manager.viewings))
+        self.assertEqual(({}, {}), (self.runner.sessions, self.runner.manager.sessions))
 
     def test_an_impossible_action_is_a_fault_and_changes_nothing(self):
         self.start()
@@ -150,7 +150,7 @@
 
     def test_a_request_without_a_decision_is_aborted_at_its_deadline(self):
         self.start()
-        self.runner.manager.seat = lambda vw: None
+        self.runner.manager.queue_or_place = lambda session: None
         self.request()
         self.advance(30_000)
         self.assertEqual([("answer", 1, AnswerKind.ABORTED, None)], self.calls("answer"))
@@ -187,7 +187,9 @@
         self.runner.probe_ended(2, Outcome.OK, 30, (5.0, 0.2, 0.1))
         self.assertEqual(
             (0.2, None),
-            tuple(srv.link.heard_at and srv.link.base for srv in map(self.runner.manager.servers.get, (2, 1))),
+            tuple(
+                srv.link.reported_at and srv.link.reported_use for srv in map(self.runner.manager.servers.get, (2, 1))
+            ),
         )
 
     def test_every_action_has_a_handler(self):
