--- a/flaxscale/platform/discovery.py
+++ b/flaxscale/platform/discovery.py
@@ -8,7 +8,8 @@
 # Spans in tenths of a millisecond.
 SILENCE = 14_000  # numbers come each second
 SILENCE_MOST = 40_000  # what an open connection that stopped would have told counts as told 4 s later (PROTOCOL)
-AGAIN, AGAIN_MOST = 500, 8_000  # pause after a connection that failed, doubled each time
+AGAIN = 500  # pause after a connection that failed, doubled each time
+AGAIN_MOST = 8_000
 DIAL_SECONDS = 0.5
 LINE_MOST = 4 * 1024 * 1024  # bytes of one event: a whole list of thousands of servers is long
 
--- a/flaxscale/platform/host.py
+++ b/flaxscale/platform/host.py
@@ -15,7 +15,7 @@
 from ..site.load import SiteError
 from ..site.settings import NOTE_NAMES, PEER_WORD, span
 from . import config as configuration
-from .belief import Belief
+from .accounting_check import Belief
 from .bulletin import Bulletin, Unreadable
 from .clients import POLLED, ClientConnection
 from .descriptors import Descriptors
