--- a/flaxscale/platform/discovery.py
+++ b/flaxscale/platform/discovery.py
@@ -35,7 +35,8 @@
         host = self.watch.host
         if not self.is_current():
             return
-        self.watch.received_at = host.now()  # a long list may arrive over more than the silence timeout
+        # Counts before a line is complete, as a long list may take longer to arrive than event numbers are apart.
+        self.watch.received_at = host.now()
         for line in self.lines.take(data):
             if not self.is_current():
                 return
--- a/flaxscale/platform/endpoints.py
+++ b/flaxscale/platform/endpoints.py
@@ -17,7 +17,7 @@
 RELEASE_TIMEOUT = 100_000  # a release is retried for this long; by then the server has ended the session or is gone
 ABANDONED_TIMEOUT = 20_000  # an abandoned attempt may be answered for this long; then its connection is closed
 SERVER_LOST_TIMEOUT = 65_000  # silence after which a server is lost: clients must be told within 8 s (PROTOCOL)
-FAILURES_TO_LOSE = 2  # failed connections that are also required; a single one may be a lost packet
+FAILURES_TO_LOSE = 2  # failed connections since then that are also required; one may fail by chance
 SILENCE_MIN = 20_000  # least silence of a server with playing sessions before a new connection checks it
 NOTE_INTERVAL_FACTOR = 1.25  # the same in load report intervals: a check costs each manager a connection
 RECONNECT_PAUSE = 2_000  # after a failed connection
--- a/tests/test_platform_crossings.py
+++ b/tests/test_platform_crossings.py
@@ -568,12 +568,12 @@
     def test_a_start_is_checked_against_when_it_was_received(self):
         now = 10 * HOUR
         for name, listed_at, followed, expected in (
-            ("just now", now - 20_000, True, now - 20_000),
-            ("an hour ahead of us", now + HOUR, True, now),
-            ("an hour behind us, as it happens", now - HOUR, True, now),
-            ("an hour ago, on the list that we start with", now - HOUR, False, now - HOUR),
-            ("ahead of us, on the list that we start with", now + HOUR, False, now),
-            ("late by an outage of discovery", now - START_AGE_MAX, True, now - START_AGE_MAX),
+            ("two seconds ago", now - 20_000, True, now - 20_000),
+            ("an hour ahead", now + HOUR, True, now),
+            ("an hour behind, in a followed list", now - HOUR, True, now),
+            ("an hour ago, in the first list", now - HOUR, False, now - HOUR),
+            ("an hour ahead, in the first list", now + HOUR, False, now),
+            ("delayed by an outage of discovery", now - START_AGE_MAX, True, now - START_AGE_MAX),
         ):
             with self.subTest(name):
                 self.assertEqual(expected, StartTimes().start_time(1, listed_at / 10, now, followed))
