--- a/flaxscale/cli/front.py
+++ b/flaxscale/cli/front.py
@@ -10,8 +10,8 @@
 
 import click
 
+from ..front.failpoints import Steps
 from ..front.front import Front
-from ..front.steps import Steps
 from ..serve.clock import set_wrong
 from ..site.load import SiteError
 from ..site.terms import Sense, read_site
--- a/flaxscale/front/front.py
+++ b/flaxscale/front/front.py
@@ -35,14 +35,14 @@
 from .audit import FrontAudit
 from .boxes import Boxes
 from .duties import FrontDuties
+from .failpoints import Steps
 from .fleet import FrontFleet
 from .journal import FrontJournal
-from .lent import FrontLent
 from .listing import ListFollower
 from .members import FrontMembers, ask_of, cookie_out
 from .peaks import FrontPeaks
-from .steps import Steps
-from .tries import FrontTries
+from .release_replicas import FrontLent
+from .retries import FrontTries
 
 AGAIN = 300_000  # a viewer of the same title within half a minute comes again
 LAG_S = 0.025  # a timer rings so often, to see how late it is
--- a/tests/test_inhand.py
+++ b/tests/test_inhand.py
@@ -5,8 +5,8 @@
 import pathlib
 import signal
 
+from flaxscale.front.failpoints import STEPS, TAKING
 from flaxscale.front.members import Sessions
-from flaxscale.front.steps import STEPS, TAKING
 from flaxscale.lab.players import Wish, headers_of, offer_of, target_of, trace_of
 from flaxscale.rules.promises import promises
 from tests.rig import Talking, within
