--- a/bench/stragglers.py
+++ b/bench/stragglers.py
@@ -34,8 +34,8 @@
 ROOT = pathlib.Path(__file__).parents[1]
 TICK = 2_500  # as front/fleet.py looks
 PLAIN = (
-    "import flaxscale.front.audit as a; a.FrontAudit.field = lambda *_: ('X-None', '0'); "
-    "a.FrontAudit.did = lambda *_: None; from flaxscale.cli.main import main; main()"
+    "import flaxscale.front.audit as a; a.FrontAudit.stamp_header = lambda *_: ('X-None', '0'); "
+    "a.FrontAudit.record = lambda *_: None; from flaxscale.cli.main import main; main()"
 )
 
 
--- a/flaxscale/catalogued/watch.py
+++ b/flaxscale/catalogued/watch.py
@@ -133,7 +133,7 @@
     def closed(self, why):
         self.up, self.call = False, None
         if self.duties is not None:
-            self.duties.source(False)
+            self.duties.set_service_up(False)
         if why is not None:
             self.log.info("catalogue not followed", detail=why[:300])
 
@@ -170,12 +170,12 @@
             await call.initial_metadata()  # it is there, though it may have nothing to tell
             self.up, self.heard_at, self.call = True, now(), call
             if self.duties is not None:
-                self.duties.source(True)
+                self.duties.set_service_up(True)
             while (reply := await call.read()) is not grpc.aio.EOF:
                 self.up, self.heard_at = True, now()
                 if reply.WhichOneof("what") in ("lease", "act"):
                     if self.duties is not None:
-                        self.duties.heard(reply)
+                        self.duties.handle_reply(reply)
                 elif (said := self.take(reply)) is not None:
                     async with self.writing:
                         await call.write(said)
--- a/flaxscale/cli/front.py
+++ b/flaxscale/cli/front.py
@@ -10,7 +10,7 @@
 
 import click
 
-from ..front.failpoints import Steps
+from ..front.failpoints import Failpoints
 from ..front.front import Front
 from ..serve.clock import set_wrong
 from ..site.load import SiteError
@@ -23,31 +23,40 @@
 
 @click.command()
 @click.argument("site", type=click.Path())
-@click.option("--me", default=0, show_default=True, help="This manager's number, from 0.")
-@click.option("--zone", default=None, help="The zone that it stands in; the site's first if left out.")
+@click.option("--me", default=0, show_default=True, help="Number of this manager, from 0.")
+@click.option("--zone", default=None, help="Zone of this manager; by default the site's first.")
 @click.option("--host", default="127.0.0.1", show_default=True)
-@click.option("--port", default=8080, show_default=True, help="0: any free one.")
-@click.option("--list", "list_address", required=True, metavar="HOST:PORT", help="The box list.")
+@click.option("--port", default=8080, show_default=True, help="0: any free port.")
+@click.option("--list", "list_address", required=True, metavar="HOST:PORT", help="Address of the box list.")
 @click.option(
     "--catalogue",
     "catalogue_address",
     default=None,
     metavar="HOST:PORT",
-    help="The catalogue service; the site file's own titles if left out.",
+    help="Address of the catalogue service; by default the titles of the site file are used.",
+)
+@click.option(
+    "--member-port",
+    default=None,
+    type=int,
+    help="UDP port for messages between managers; 0: any. By default there are none.",
+)
+@click.option(
+    "--member", "members", multiple=True, metavar="HOST:PORT", help="Member address of another manager, to join by."
 )
-@click.option("--member-port", default=None, type=int, help="UDP port for other managers; 0: any. No talk if left out.")
-@click.option("--member", "members", multiple=True, metavar="HOST:PORT", help="Another manager's, to begin with.")
 @click.option("--state", default=None, type=click.Path(), help="Folder for the last box list and catalogue.")
-@click.option("--seed", default=None, type=int, help="Of the manager's chance; drawn anew if left out.")
+@click.option("--seed", default=None, type=int, help="Seed of the manager's random numbers; random by default.")
 @click.option("--log-level", default="info", type=click.Choice(list(LEVELS)), show_default=True)
 @click.option("--log-file", default=None, type=click.Path())
-@click.option("--via", default=None, type=click.Path(), hidden=True, help="The lab's: addresses of members by ours.")
-@click.option("--clock", default=None, hidden=True, metavar="STEP_S:RATE", help="The lab's: a clock that is wrong.")
-@click.option("--older", is_flag=True, hidden=True, help="The lab's: as a build that says nothing of its versions.")
-@click.option("--lies", is_flag=True, hidden=True, help="The lab's: the copies that it hands over are damaged.")
-@click.option("--step", default=None, hidden=True, metavar="STEP:ACT", help="The lab's: killed or stopped there.")
-@click.option("--disk-fault", default=None, type=click.Path(), hidden=True, help="The lab's: full or slow:MS.")
-@click.option("--ready", "say_ready", is_flag=True, help="Print one JSON line with the address once it listens.")
+@click.option(
+    "--via", default=None, type=click.Path(), hidden=True, help="For the lab: routes to other members' addresses."
+)
+@click.option("--clock", default=None, hidden=True, metavar="STEP_S:RATE", help="For the lab: a wrong clock.")
+@click.option("--older", is_flag=True, hidden=True, help="For the lab: act as a build without versions.")
+@click.option("--lies", is_flag=True, hidden=True, help="For the lab: damage the copies served to others.")
+@click.option("--step", default=None, hidden=True, metavar="STEP:ACT", help="For the lab: kill or stop at this point.")
+@click.option("--disk-fault", default=None, type=click.Path(), hidden=True, help="For the lab: full or slow:MS.")
+@click.option("--ready", "say_ready", is_flag=True, help="Print one JSON line with the address once listening.")
 def front(
     site,
     me,
@@ -73,41 +82,41 @@
     """Serve WHIP and WHEP as one session manager of SITE (a Jsonnet file)."""
 
     def read():
-        found = read_site(site)
-        if member_port is not None and not found.allowed.peers:
-            raise SiteError(site, "allowed.peers", "true expected: these terms forbid talk between managers")
-        if member_port is not None and not found.front.member_keys:
-            raise SiteError(site, "front.member_keys", "at least one key expected, for talk between managers")
-        if found.allowed.peers and member_port is None:
-            raise SiteError(site, "allowed.peers", "false expected, or a --member-port to talk by")
-        if not 0 <= me < found.managers:
+        settings = read_site(site)
+        if member_port is not None and not settings.allowed.peers:
+            raise SiteError(site, "allowed.peers", "true expected: these terms forbid messages between managers")
+        if member_port is not None and not settings.front.member_keys:
+            raise SiteError(site, "front.member_keys", "at least one key expected, for messages between managers")
+        if settings.allowed.peers and member_port is None:
+            raise SiteError(site, "allowed.peers", "false expected, or a --member-port for messages")
+        if not 0 <= me < settings.managers:
             raise SiteError(site, "managers", f"more than {me} expected, the number given with --me")
-        if zone is not None and zone not in found.zones:
-            raise SiteError(site, "zones", f"the zone {zone!r} of --zone expected among them")
-        return found
+        if zone is not None and zone not in settings.zones:
+            raise SiteError(site, "zones", f"the zone {zone!r} given with --zone expected among them")
+        return settings
 
-    found = site_errors(read)
+    settings = site_errors(read)
     if clock:
-        off, _, rate = clock.partition(":")
-        set_wrong(float(off), float(rate or 1))
-    paths = json.loads(pathlib.Path(via).read_text()) if via else None
-    files = functools.partial(TroubledFiles, pathlib.Path(disk_fault)) if disk_fault else Files
-    made = Sense(
-        found,
+        offset_s, _, rate = clock.partition(":")
+        set_wrong(float(offset_s), float(rate or 1))
+    member_routes = json.loads(pathlib.Path(via).read_text()) if via else None
+    make_files = functools.partial(TroubledFiles, pathlib.Path(disk_fault)) if disk_fault else Files
+    site_terms = Sense(
+        settings,
         me,
-        found.zones.index(zone) if zone else 0,
+        settings.zones.index(zone) if zone else 0,
         seed if seed is not None else zlib.crc32(pathlib.Path("/dev/urandom").open("rb").read(8)),
     )
     log = logger(log_level, log_file, manager=f"m{me}")
     try:
-        steps = Steps(step)
-    except ValueError as bad:
-        raise click.UsageError(f"--step: {bad}") from None
+        failpoints = Failpoints(step)
+    except ValueError as error:
+        raise click.UsageError(f"--step: {error}") from None
 
     async def main():
-        over = asyncio.Event()
-        app = Front(
-            made,
+        stop_requested = asyncio.Event()
+        manager = Front(
+            site_terms,
             log,
             list_address,
             state,
@@ -115,27 +124,27 @@
             catalogue_address,
             list(members) if member_port is not None else None,
             read,
-            over.set,
-            paths,
-            files,
+            stop_requested.set,
+            member_routes,
+            make_files,
             older,
-            steps,
+            failpoints,
         )
-        app.fleet.lies = lies
+        manager.fleet.corrupts_copies = lies
 
         def reload():
-            with contextlib.suppress(SiteError):  # said in the log, by name; the settings in service stay
-                app.reload()
+            with contextlib.suppress(SiteError):  # reload() has logged the reason; the current settings stay in use
+                manager.reload()
 
         asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, reload)
-        address = await app.start(host, port, member_port or 0)
+        address = await manager.start(host, port, member_port or 0)
         log.info("serves", host=address[0], port=address[1])
         service.settle_memory()
         if say_ready:
-            more = {"members": "%s:%d" % app.members.address} if member_port is not None else {}
-            ready(*address, **more)
-        await service.until_signal(done=over)
+            extra = {"members": "%s:%d" % manager.members.address} if member_port is not None else {}
+            ready(*address, **extra)
+        await service.until_signal(done=stop_requested)
         log.info("leaves")
-        await app.stop()
+        await manager.stop()
 
     service.run(main())
--- a/flaxscale/front/__init__.py
+++ b/flaxscale/front/__init__.py
@@ -1,1 +1,1 @@
-"""The session front: WHIP and WHEP on one side, boxes on the other, the runner between. It decides nothing."""
+"""The session front: connects WHIP and WHEP clients, boxes and the runner, and makes no decisions."""
--- a/flaxscale/front/audit.py
+++ b/flaxscale/front/audit.py
@@ -1,4 +1,4 @@
-"""One manager's stamps and account on its sockets: what is in force, what was done under it. Files and a timer only."""
+"""Stamps and audit account of one manager: which versions are in force, and what was done under them."""
 
 import asyncio
 import importlib.metadata
@@ -11,80 +11,84 @@
 from ..serve.clock import now
 from ..store.log import StoreError
 
-WRITE_S = 0.05  # rows of this long are written together
-FIELD = "Flaxscale-Stamp"
+WRITE_DELAY_S = 0.05  # rows of this time are written together
+STAMP_HEADER = "Flaxscale-Stamp"
 
 
-def build():
-    """This program's build, as far as its installation tells."""
+def build_version():
+    """Returns the installed version of this program."""
     try:
         return importlib.metadata.version("flaxscale")
     except importlib.metadata.PackageNotFoundError:
         return "unpacked"
 
 
-BUILD = build()
+BUILD = build_version()
 
 
 class FrontAudit:
+    """The stamps and the account of one manager."""
+
     def __init__(self, front, files=None):
-        """files: None keeps no account; actions are stamped all the same."""
+        """files: None keeps no account; actions are stamped nevertheless."""
         self.front, self.stamps, self.account, self.timer = front, Stamps(), None, None
         if files is not None:
             try:
                 self.account = Account(files)
-            except (StoreError, ValueError, OSError) as bad:
-                front.lines.error("account not used", detail=str(bad))
+            except (StoreError, ValueError, OSError) as error:
+                front.logger.error("account not used", detail=str(error))
 
     def start(self):
-        self.put(Began(self.front.name, self.front.boot, now()))
-        self.renew()
+        self.append(Began(self.front.name, self.front.boot, now()))
+        self.update_stamp()
 
-    def renew(self):
-        """Something that actions go by may have changed."""
-        front, watch = self.front, self.front.watch
+    def update_stamp(self):
+        """Makes a new stamp if anything that actions depend on has changed."""
+        front, catalogue_watch = self.front, self.front.catalogue_watch
         view = ",".join(front.members.alive())
-        number, new = self.stamps.take(
+        number, is_new = self.stamps.take(
             Stamp(
                 BUILD,
-                front.mark,
-                front.book.version,
-                (str(watch.follower.epoch), watch.follower.version or 0) if watch is not None else None,
-                front.peaks.watch.follower.version if front.peaks.watch else None,
+                front.settings_digest,
+                front.box_list.version,
+                (str(catalogue_watch.follower.epoch), catalogue_watch.follower.version or 0)
+                if catalogue_watch is not None
+                else None,
+                front.peaks.peak_watch.follower.version if front.peaks.peak_watch else None,
                 f"{xxhash.xxh3_64_intdigest(view.encode()):016x}",
-                watch.follower.floor if watch is not None else 0,
+                catalogue_watch.follower.floor if catalogue_watch is not None else 0,
             )
         )
-        if new:
-            self.put(Stamped(number, self.stamps.current, now()))
-            front.lines.info("stamp", number=number, **msgspec.structs.asdict(self.stamps.current))
+        if is_new:
+            self.append(Stamped(number, self.stamps.current, now()))
+            front.logger.info("stamp", number=number, **msgspec.structs.asdict(self.stamps.current))
 
-    def field(self, box, boot):
-        """The header of a request to a box."""
-        return FIELD if not self.front.older else "X-Unknown", self.stamps.carried(box, boot)
+    def stamp_header(self, box, boot):
+        """Returns the (name, value) of the stamp header for a request to a box."""
+        return STAMP_HEADER if not self.front.unversioned else "X-Unknown", self.stamps.carried(box, boot)
 
-    def did(self, kind, key, box=0):
-        self.put(Did(kind, key, box, self.stamps.number, now()))
+    def record(self, kind, key, box=0):
+        self.append(Did(kind, key, box, self.stamps.number, now()))
 
-    def put(self, row):
+    def append(self, row):
         if self.account is None:
             return
         self.account.put(row)
         if self.timer is None and self.account.failed is None:
-            self.timer = asyncio.get_running_loop().call_later(WRITE_S, self.write)
+            self.timer = asyncio.get_running_loop().call_later(WRITE_DELAY_S, self.write)
 
     def write(self):
         self.timer = None
         if not self.account.commit():
-            self.front.lines.error("account failed", detail=str(self.account.failed))
+            self.front.logger.error("account failed", detail=str(self.account.failed))
 
     def state(self):
-        kept = self.account
+        account = self.account
         return {
             "stamp": self.stamps.number,
             **(msgspec.structs.asdict(self.stamps.current) if self.stamps.current else {}),
-            "account": "off" if kept is None else "failed" if kept.failed else "kept",
-            "rows_lost": kept.lost if kept else 0,
+            "account": "off" if account is None else "failed" if account.failed else "kept",
+            "rows_lost": account.lost if account else 0,
         }
 
     def stop(self):
--- a/flaxscale/front/boxes.py
+++ b/flaxscale/front/boxes.py
@@ -1,7 +1,8 @@
-"""The front's side of its boxes: set-ups out, note streams in, what is owed to them. Sockets only.
+"""A manager's connections to boxes: set-ups, note streams, and orders that end sessions or change rungs.
 
-Wire between front and box (docs/signalling.md): a set-up is the client's own POST with an Idempotency-Key that
-names it before it is sent; /manager/notes is an event stream; /manager/orders ends set-ups and sets rungs.
+The protocol between front and box is described in docs/signalling.md: a set-up is the client's own POST with an
+Idempotency-Key that names the session before it is sent; /manager/notes is an event stream; /manager/orders ends
+sessions and sets rungs.
 """
 
 import asyncio
@@ -15,14 +16,15 @@
 from ..serve.clock import now
 from ..signalling import load
 
-GATHER_S = 0.05  # orders to one box wait so long for others
-ORDERS_S = 2.0  # orders left unanswered so long are sent again
-FLOOR = "flaxscale-floor"  # in a refusal: epoch;floor under which nothing may be done there
-RAN = "flaxscale-ran"  # "no" in an answer: the set-up never ran and never will
+ORDER_BATCH_DELAY_S = 0.05  # delay before orders are sent, so that orders for one box are batched
+ORDER_TIMEOUT_S = 2.0  # orders without an answer within this time are sent again
+# in a refusal: "epoch;floor", the lowest catalogue version under which the box accepts actions
+FLOOR_HEADER = "flaxscale-floor"
+RAN_HEADER = "flaxscale-ran"  # "no" in an answer: the set-up did not run and will not run later
 
 
 class NoteEvent(msgspec.Struct):
-    """What a box tells of one of our viewings there."""
+    """A note of a box on one of this manager's sessions."""
 
     key: str
     link: float | None = None
@@ -31,88 +33,97 @@
 
 
 class OverEvent(msgspec.Struct):
+    """A box reports that a session is over."""
+
     key: str
-    how: str  # left, lost, moved: another manager has it now
-    to: str = ""  # which
+    how: str  # "left", "lost" or "moved" (claimed by another manager)
+    to: str = ""  # moved: the manager that claimed the session
 
 
 class OrdersAnswer(msgspec.Struct):
+    """A box's answer to orders: keys of sessions that another manager has claimed."""
+
     fenced: list[str] = []
 
 
 class HelloEvent(msgspec.Struct):
+    """The first event of a stream: the box's boot id and the keys of this manager's sessions."""
+
     boot: str
     keys: list[str]
 
 
 class Boxes:
-    """All boxes of one front. The owner (front) gives: held keys by box, and hears of notes and losses."""
+    """The connections of one front to all boxes; the owner (the front) is informed of notes and ended sessions."""
 
-    def __init__(self, owner, sense, name, life, log):
-        """life: of this manager, another one at each start: a box keeps what a life left for a lease."""
+    def __init__(self, owner, site_terms, name, boot, log):
+        """boot: name of this manager's boot, new at each start: a box keeps sessions of an earlier boot for a lease."""
         self.owner, self.log = owner, log
-        site = sense.site
-        self.pool, self.seed = wire.Pool(0, site.front.box_connections), sense.seed
-        self.rule(sense)
-        self.who = [("Flaxscale-Manager", name), ("Flaxscale-Life", life)]
+        site = site_terms.site
+        self.pool, self.seed = wire.Pool(0, site.front.box_connections), site_terms.seed
+        self.apply_settings(site_terms)
+        self.identity_headers = [("Flaxscale-Manager", name), ("Flaxscale-Life", boot)]
         if site.front.fleet_token:
-            self.who.append(("Authorization", f"Bearer {site.front.fleet_token}"))
+            self.identity_headers.append(("Authorization", f"Bearer {site.front.fleet_token}"))
         self.places, self.watches, self.streams = {}, {}, {}
-        self.playing, self.boots = {}, {}  # box: {key: viewing}; key: the start of the box that plays it
-        self.epochs = {}  # key: the epoch under which we hold it, where it was taken over
-        self.owed, self.orders_out = Owed(sense.seed), {}
-        self.pushing = {}  # box: the wake-up that will send its orders
+        # sessions: {box: {key: viewing id}}; session_boots: {key: boot id of the box that plays the session}
+        self.sessions, self.session_boots = {}, {}
+        self.epochs = {}  # {key: the epoch under which a session that was taken over is held}
+        self.pending_releases, self.orders_in_flight = Owed(site_terms.seed), {}
+        self.order_timers = {}  # {box: timer that sends the box's pending orders}
 
-    def rule(self, sense):
-        """Goes by these settings from now on."""
-        self.load_names, self.figures = sense.load_names, sense.notes
-        self.dial_s = self.pool.dial_s = sense.site.allowed.dial_timeout_ms / 1000
+    def apply_settings(self, site_terms):
+        """Applies changed settings."""
+        self.load_names, self.note_kinds = site_terms.load_names, site_terms.notes
+        self.dial_s = self.pool.dial_s = site_terms.site.allowed.dial_timeout_ms / 1000
 
     # Probes
 
     def probe(self, box, done):
-        """Asks a box for its load. done(outcome, took, figures) comes once, later, and in the time of a connection."""
-        place, began = self.places.get(box), now()
+        """Queries the load of a box and calls done(outcome, duration, figures) once, within the connection timeout."""
+        place, started_at = self.places.get(box), now()
         if place is None:
             asyncio.get_running_loop().call_soon(done, Outcome.UNREACHED, 0, ())
             return
 
-        def came(result):
+        def on_answer(result):
             if isinstance(result, wire.Failed):
-                how = Outcome.UNREACHED if not result.sent else Outcome.TIMEOUT if result.late else Outcome.RESET
-                done(how, now() - began, ())
+                outcome = Outcome.UNREACHED if not result.sent else Outcome.TIMEOUT if result.late else Outcome.RESET
+                done(outcome, now() - started_at, ())
                 return
             figures = load.decode(result.headers.get(load.FIELD))
-            whole = result.status == 200 and all(name in figures for name in self.load_names)
+            complete = result.status == 200 and all(name in figures for name in self.load_names)
             done(
-                Outcome.OK if whole else Outcome.ERROR,
-                now() - began,
-                tuple(figures[name] for name in self.load_names) if whole else (),
+                Outcome.OK if complete else Outcome.ERROR,
+                now() - started_at,
+                tuple(figures[name] for name in self.load_names) if complete else (),
             )
 
-        self.pool.send(place.host, place.port, "GET", "/manager/load", self.who, b"", came, self.dial_s)
+        self.pool.send(
+            place.host, place.port, "GET", "/manager/load", self.identity_headers, b"", on_answer, self.dial_s
+        )
 
-    # The list
+    # The box list
 
-    def placed(self, places):
-        """The list's places now. Boxes that went or moved are told from it."""
+    def update_places(self, places):
+        """Applies the places of the box list; sessions at boxes that were removed are reported as lost."""
         before, self.places = self.places, dict(places)
         for box in before.keys() - places.keys():
-            self.lose(box, self.watch(box).listed_gone(self.keys(box)), "the list says gone")
-            if not self.keys(box):
+            self.lose_sessions(box, self.watch_of(box).listed_gone(self.sessions_at(box)), "the list says gone")
+            if not self.sessions_at(box):
                 self.close_stream(box)
-                self.gone(box)
+                self.forget_box(box)
         for box, place in places.items():
             if box in self.watches:
                 self.watches[box].listed()
                 if box in before and before[box][:2] != place[:2]:
                     self.close_stream(box)
-                    self.keep_stream(box)
+                    self.ensure_stream(box)
 
-    def keys(self, box):
-        return self.playing.get(box, {})
+    def sessions_at(self, box):
+        return self.sessions.get(box, {})
 
-    def watch(self, box):
+    def watch_of(self, box):
         if box not in self.watches:
             self.watches[box] = BoxWatch(box, self.seed)
         return self.watches[box]
@@ -120,138 +131,143 @@
     # Set-ups
 
     def set_up(self, box, target, key, headers, body, done):
-        """One POST. done(how or None, took, answer or None, [(NoteKind, amount)]); None: it plays."""
+        """Sends one set-up and calls done(outcome, duration, answer, [(NoteKind, amount)]); outcome None: it plays.
+
+        Returns the call, or None if the box is not listed.
+        """
         place = self.places.get(box)
         if place is None:
             return None
-        self.keep_stream(box)
-        began, field = now(), self.owner.audit.field(box, place.boot)
+        self.ensure_stream(box)
+        started_at, stamp = now(), self.owner.audit.stamp_header(box, place.boot)
 
-        def came(result):
-            took = now() - began
+        def on_answer(result):
+            duration = now() - started_at
             if isinstance(result, wire.Answer):
-                self.answered_under(box, place.boot, field[1], result)
+                self.stamp_answered(box, place.boot, stamp[1], result)
             if isinstance(result, wire.Failed):
-                done(Outcome.RESET if result.sent else Outcome.UNREACHED, took, None, ())
+                done(Outcome.RESET if result.sent else Outcome.UNREACHED, duration, None, ())
                 return
-            done(self.how_of(result), took, result, self.notes_of(result.headers))
+            done(self.outcome_of(result), duration, result, self.figures_of(result.headers))
 
-        return self.pool.send(place.host, place.port, "POST", target, [*headers, field, *self.who], body, came)
+        return self.pool.send(
+            place.host, place.port, "POST", target, [*headers, stamp, *self.identity_headers], body, on_answer
+        )
 
-    def answered_under(self, box, boot, field, answer):
-        """A box answered what carried this stamp; it may have refused it for what it was done under."""
-        self.owner.audit.stamps.heard(box, boot, field)
-        if FLOOR in answer.headers:
-            self.owner.fleet.refused(box, answer.headers)
+    def stamp_answered(self, box, boot, stamp_value, answer):
+        """Handles the box's reaction to the stamp of a request: accepted, or refused below the box's version floor."""
+        self.owner.audit.stamps.heard(box, boot, stamp_value)
+        if FLOOR_HEADER in answer.headers:
+            self.owner.fleet.refused_by_box(box, answer.headers)
 
-    def tell_stamp(self, box):
-        """Lets a box know under which versions we act, with nothing to do."""
+    def send_stamp(self, box):
+        """Informs a box of this manager's current versions when no other order is due."""
         place = self.places.get(box)
         if place is not None:
-            self.send_orders(box, place, [], []) if box not in self.orders_out else self.push(box)
+            self.send_orders(box, place, [], []) if box not in self.orders_in_flight else self.schedule_orders(box)
 
-    def how_of(self, answer):
-        """An answer as an outcome. What is not said to have never run may have run."""
+    def outcome_of(self, answer):
+        """Maps an answer to an outcome; unless the box states that the set-up did not run, it may have run."""
         if answer.status == 201 and "location" in answer.headers:
             return None
-        if answer.headers.get(RAN) == "no":
+        if answer.headers.get(RAN_HEADER) == "no":
             return {503: Outcome.FULL, 404: Outcome.LACKING, 421: Outcome.LACKING}.get(answer.status, Outcome.MOOT)
         return Outcome.ERROR
 
-    def notes_of(self, headers):
+    def figures_of(self, headers):
         figures = load.decode(headers.get(load.FIELD))
-        return [(kind, figures[name]) for name, kind in self.figures.items() if name in figures]
+        return [(kind, figures[name]) for name, kind in self.note_kinds.items() if name in figures]
 
-    def plays(self, box, key, id, boot, epoch=0):
-        self.playing.setdefault(box, {})[key] = id
-        self.boots[key] = boot
-        watch = self.watch(box)
+    def session_started(self, box, key, viewing_id, boot, epoch=0):
+        self.sessions.setdefault(box, {})[key] = viewing_id
+        self.session_boots[key] = boot
+        watch = self.watch_of(box)
         if boot is not None and watch.state is Stream.UP and watch.boot != boot:
-            # One of both is older than the box's present start, and its stream alone can tell which.
+            # Either this session or the stream belongs to an earlier boot of the box; only a new stream can tell which.
             self.close_stream(box)
-            self.keep_stream(box)
+            self.ensure_stream(box)
         if epoch:
             self.epochs[key] = epoch
 
-    def over(self, box, key):
-        """It plays no more, or we want it no more."""
-        self.boots.pop(key, None)
-        if key not in self.owed.keys(box):
+    def forget_session(self, box, key):
+        """Forgets a session that ended or that is being ended."""
+        self.session_boots.pop(key, None)
+        if key not in self.pending_releases.keys(box):
             self.epochs.pop(key, None)
-        held = self.playing.get(box)
-        if held is not None:
-            held.pop(key, None)
-            if not held:
-                del self.playing[box]
-
-    def gone(self, box):
-        """No process is there any more, and nothing is owed to it."""
-        for key in list(self.owed.keys(box)):
-            self.settled(box, key)
-        self.owed.gone(box)
-
-    def settled(self, box, key):
-        """Whatever became of it there, it plays there for us no more."""
-        self.owed.over(box, key)
-        self.owner.ended_there(key)
+        sessions = self.sessions.get(box)
+        if sessions is not None:
+            sessions.pop(key, None)
+            if not sessions:
+                del self.sessions[box]
+
+    def forget_box(self, box):
+        """Forgets a box without a running process: no release is pending there any more."""
+        for key in list(self.pending_releases.keys(box)):
+            self.release_settled(box, key)
+        self.pending_releases.gone(box)
+
+    def release_settled(self, box, key):
+        """Drops the pending release of a session that no longer plays at the box for this manager."""
+        self.pending_releases.over(box, key)
+        self.owner.ended_at_box(key)
 
     # Orders
 
     def end(self, box, key):
-        self.owed.end(box, key, now())
-        self.over(box, key)
-        self.owner.members.over_early(key)
-        self.push(box)
+        self.pending_releases.end(box, key, now())
+        self.forget_session(box, key)
+        self.owner.members.ended_before_grant(key)
+        self.schedule_orders(box)
 
     def set_rung(self, box, key, rung):
-        self.owed.rung(box, key, rung)
-        self.push(box)
-
-    def push(self, box, after=GATHER_S):
-        """Orders are gathered for a moment, so that a crowd that leaves costs few requests."""
-        if box not in self.pushing:
-            self.pushing[box] = asyncio.get_running_loop().call_later(after, self.push_now, box)
-
-    def push_now(self, box):
-        self.pushing.pop(box, None)
-        time, at = now(), self.owed.ready_at(box)
-        if at is None:
+        self.pending_releases.rung(box, key, rung)
+        self.schedule_orders(box)
+
+    def schedule_orders(self, box, delay_s=ORDER_BATCH_DELAY_S):
+        """Schedules a batch of orders; the delay keeps the number of requests low when many clients leave at once."""
+        if box not in self.order_timers:
+            self.order_timers[box] = asyncio.get_running_loop().call_later(delay_s, self.flush_orders, box)
+
+    def flush_orders(self, box):
+        self.order_timers.pop(box, None)
+        time_now, ready_at = now(), self.pending_releases.ready_at(box)
+        if ready_at is None:
             return
         place = self.places.get(box)
         if place is None:
-            if not self.keys(box):
-                self.gone(box)
-        elif at > time:
-            self.push(box, (at - time) / 10_000 + 0.001)
+            if not self.sessions_at(box):
+                self.forget_box(box)
+        elif ready_at > time_now:
+            self.schedule_orders(box, (ready_at - time_now) / 10_000 + 0.001)
         else:
-            self.send_orders(box, place, *self.owed.take(box, time))
+            self.send_orders(box, place, *self.pending_releases.take(box, time_now))
 
     def send_orders(self, box, place, ends, rungs):
-        audit, field = self.owner.audit, self.owner.audit.field(box, place.boot)
+        audit, stamp = self.owner.audit, self.owner.audit.stamp_header(box, place.boot)
         for kind, keys in (("end", ends), ("rung", rungs)):
             for key in keys:
-                audit.did(kind, key, box)
+                audit.record(kind, key, box)
 
-        def came(result):
-            self.orders_out.pop(box, None)
+        def on_answer(result):
+            self.orders_in_flight.pop(box, None)
             if isinstance(result, wire.Answer):
-                self.answered_under(box, place.boot, field[1], result)
-            good = isinstance(result, wire.Answer) and result.status == 200
-            self.owed.sent(box, good, now())
-            if good:
-                self.fenced(box, result.body)
+                self.stamp_answered(box, place.boot, stamp[1], result)
+            accepted = isinstance(result, wire.Answer) and result.status == 200
+            self.pending_releases.sent(box, accepted, now())
+            if accepted:
+                self.handle_fenced(box, result.body)
                 for key in ends:
-                    if key not in self.owed.keys(box):
+                    if key not in self.pending_releases.keys(box):
                         self.epochs.pop(key, None)
-                        self.owner.ended_there(key)
-            self.push(box)
+                        self.owner.ended_at_box(key)
+            self.schedule_orders(box)
 
-        self.orders_out[box] = self.pool.send(
+        self.orders_in_flight[box] = self.pool.send(
             place.host,
             place.port,
             "POST",
             "/manager/orders",
-            [("Content-Type", "application/json"), field, *self.who],
+            [("Content-Type", "application/json"), stamp, *self.identity_headers],
             msgspec.json.encode(
                 {
                     "end": ends,
@@ -259,52 +275,54 @@
                     "epochs": {key: self.epochs[key] for key in (*ends, *rungs) if key in self.epochs},
                 }
             ),
-            came,
-            ORDERS_S,
+            on_answer,
+            ORDER_TIMEOUT_S,
         )
 
-    def fenced(self, box, body):
-        """Orders that the box refused: another manager took the viewing over. It is let go, not ended."""
+    def handle_fenced(self, box, body):
+        """Drops the sessions that the box refused to change because another manager has claimed them."""
         try:
             keys = msgspec.json.decode(body, type=OrdersAnswer).fenced
         except msgspec.MsgspecError:
             return
         for key in keys:
-            id = self.keys(box).get(key)
-            self.settled(box, key)
+            id = self.sessions_at(box).get(key)
+            self.release_settled(box, key)
             if id is not None:
-                self.over(box, key)
+                self.forget_session(box, key)
                 self.log.info("fenced", viewing=id, box=box)
-                self.owner.session_over(id, Outcome.OK)
+                self.owner.session_ended(id, Outcome.OK)
 
     # Notes
 
-    def keep_stream(self, box):
-        """A stream to each box that we use, for as long as the list names it."""
-        watch, place = self.watch(box), self.places.get(box)
+    def ensure_stream(self, box):
+        """Opens a stream to a box that is in use, unless it is open or the box is not listed."""
+        watch, place = self.watch_of(box), self.places.get(box)
         if place is None or not watch.wants(now()):
             return
-        watch.opening(self.keys(box))
+        watch.opening(self.sessions_at(box))
         self.streams[box] = stream = wire.EventStream(
             place.host,
             place.port,
             "/manager/notes",
-            self.who,
+            self.identity_headers,
             lambda: None,
-            lambda event: self.heard(box, event),
+            lambda event: self.handle_event(box, event),
             lambda refused, detail: self.stream_closed(box, refused, detail),
         )
         stream.start(self.dial_s)
 
     def stream_closed(self, box, refused, detail):
         self.streams.pop(box, None)
-        watch = self.watch(box)
-        lost = watch.closed(refused, self.keys(box), now())
+        watch = self.watch_of(box)
+        lost = watch.closed(refused, self.sessions_at(box), now())
         self.log.info("stream closed", box=box, refused=refused, detail=detail, lost=len(lost))
-        self.lose(box, lost, "its process does not run" if refused else "its stream ended and the list says gone")
+        self.lose_sessions(
+            box, lost, "its process is not running" if refused else "its stream ended and the list says gone"
+        )
         if box in self.places:
             asyncio.get_running_loop().call_later(
-                max(0.0, (watch.retry_at - now()) / 10_000) + 0.001, self.keep_stream, box
+                max(0.0, (watch.retry_at - now()) / 10_000) + 0.001, self.ensure_stream, box
             )
 
     def close_stream(self, box):
@@ -313,7 +331,7 @@
         if box in self.watches:
             self.watches[box].state = Stream.OFF
 
-    def heard(self, box, event):
+    def handle_event(self, box, event):
         try:
             if event.name == "note":
                 note = msgspec.json.decode(event.data, type=NoteEvent)
@@ -323,45 +341,47 @@
                 hello = msgspec.json.decode(event.data, type=HelloEvent)
             else:
                 return
-        except msgspec.MsgspecError as bad:
-            self.log.warning("note not read", box=box, detail=str(bad)[:200])
+        except msgspec.MsgspecError as error:
+            self.log.warning("note unreadable", box=box, detail=str(error)[:200])
             return
         if event.name == "hello":
-            keys = self.keys(box)
-            lost = self.watch(box).hello(hello.boot, set(hello.keys), {key: self.boots.get(key) for key in keys})
-            self.lose(box, lost, "the box does not know it")
-            strange = [key for key in hello.keys if key not in keys and not self.owner.is_out(key)]
-            self.owner.found(box, strange)  # set-ups of ours that we know nothing of any more
+            keys = self.sessions_at(box)
+            lost = self.watch_of(box).hello(
+                hello.boot, set(hello.keys), {key: self.session_boots.get(key) for key in keys}
+            )
+            self.lose_sessions(box, lost, "the box does not know the session")
+            unknown = [key for key in hello.keys if key not in keys and not self.owner.is_pending(key)]
+            self.owner.unknown_sessions(box, unknown)  # sessions that carry this manager's name and are not known here
             return
         if event.name == "over":
-            id = self.keys(box).get(over.key)
-            self.settled(box, over.key)
+            id = self.sessions_at(box).get(over.key)
+            self.release_settled(box, over.key)
             if id is None:
-                self.owner.over_early(over.key)
+                self.owner.ended_before_answer(over.key)
             else:
-                self.over(box, over.key)
-                self.owner.session_over(id, Outcome.RESET if over.how == "lost" else Outcome.OK, over.to)
+                self.forget_session(box, over.key)
+                self.owner.session_ended(id, Outcome.RESET if over.how == "lost" else Outcome.OK, over.to)
             return
-        id = self.keys(box).get(note.key)
+        id = self.sessions_at(box).get(note.key)
         if id is None:
             return
         if note.delivered is not None:
-            self.owner.noted(id, NoteKind.DELIVERED, note.delivered)
+            self.owner.box_note(id, NoteKind.DELIVERED, note.delivered)
         if note.link is not None:
-            self.owner.noted(id, NoteKind.LINK, note.link)
-        if note.uplink is not None and NoteKind.UPLINK in self.figures.values():
-            self.owner.noted(id, NoteKind.UPLINK, note.uplink)
+            self.owner.box_note(id, NoteKind.LINK, note.link)
+        if note.uplink is not None and NoteKind.UPLINK in self.note_kinds.values():
+            self.owner.box_note(id, NoteKind.UPLINK, note.uplink)
 
-    def lose(self, box, keys, why):
+    def lose_sessions(self, box, keys, reason):
         for key in list(keys):
-            id = self.keys(box).get(key)
+            id = self.sessions_at(box).get(key)
             if id is not None:
-                self.over(box, key)
-                self.log.info("viewing lost", viewing=id, box=box, why=why)
-                self.owner.session_over(id, Outcome.RESET)
+                self.forget_session(box, key)
+                self.log.info("viewing lost", viewing=id, box=box, why=reason)
+                self.owner.session_ended(id, Outcome.RESET)
 
     async def close(self):
-        for timer in self.pushing.values():
+        for timer in self.order_timers.values():
             timer.cancel()
         for box in list(self.streams):
             self.close_stream(box)
--- a/flaxscale/front/duties.py
+++ b/flaxscale/front/duties.py
@@ -1,5 +1,7 @@
-"""What one manager does for the whole fleet under leases, on its sockets. Who may, when and under which token leases/
-says; what a duty decides stands in leases/duties.py and where its matter lies (catalogue.plan, members.adopt).
+"""Duties that one manager performs for the whole fleet under leases.
+
+The rules about leases (who, when, under which token) are in leases/, the decisions of a duty in leases/duties.py and in
+the modules of its subject (catalogue.plan, members.adopt).
 """
 
 import asyncio
@@ -14,57 +16,62 @@
 from ..leases.shares import Fit, eligible, share
 from ..proto import catalogue_pb2 as pb
 from ..serve.clock import now
-from .members import Outdated, Sessions
+from .members import LeaseOutdated, Sessions
 
-TICK_S = 0.2
-ACT_S = 5.0  # an act that the service does not answer by then may have been done
-STATE_S = 1.0
-FIELD = "Flaxscale-Lease"  # piece;token;owner with what is done at a box under a lease
-COPIES, MOVES, ROOM = 3, 50, 1_000_000  # of the planner's proposal; titles that a box can hold
+TICK_INTERVAL_S = 0.2
+ACT_TIMEOUT_S = 5.0  # an act without an answer by then may have been done nevertheless
+STATE_TIMEOUT_S = 1.0
+LEASE_HEADER = "Flaxscale-Lease"  # "piece;token;owner", sent with an action at a box that is done under a lease
+# Limits of the planner's proposal
+PLAN_COPIES = 3  # copies per title
+PLAN_MAX_MOVES = 50  # copies added or dropped
+PLAN_TITLES_PER_BOX = 1_000_000  # titles that a box can hold
 
 
 class FrontDuties:
+    """One manager's leases and the duties that it performs under them."""
+
     def __init__(self, front):
-        self.front, self.owner = front, f"{front.name}.{front.boot}"
+        self.front, self.lease_owner = front, f"{front.name}.{front.boot}"
         self.tasks = duties.tasks_of(front.site.duties, front.site.fleet.drift)
-        self.holder, self.turns = Holder(self.owner, front.sense.seed, now()), duties.Turns()
-        self.sweeps, self.jobs, self.acts, self.numbers, self.timer = {}, set(), {}, 0, None
+        self.holder, self.turns = Holder(self.lease_owner, front.site_terms.seed, now()), duties.Turns()
+        self.sweeps, self.jobs, self.pending_acts, self.last_act_number, self.timer = {}, set(), {}, 0, None
         self.counts = dict.fromkeys(("granted", "acts", "refused", "failed"), 0)
-        self.on = False
+        self.enabled = False
 
     def start(self):
-        """Only where the site has duties, a catalogue's service grants them, and managers talk."""
-        self.on = (
+        """Enabled only where the site has duties, a catalogue service grants leases and managers exchange messages."""
+        self.enabled = (
             bool(self.tasks)
-            and self.front.watch is not None
+            and self.front.catalogue_watch is not None
             and self.front.members.shell is not None
-            and (not self.front.older)
+            and (not self.front.unversioned)
         )
-        if self.on:
-            self.front.watch.duties = self
-            self.source(self.front.watch.up)
+        if self.enabled:
+            self.front.catalogue_watch.duties = self
+            self.set_service_up(self.front.catalogue_watch.up)
             self.tick()
 
     async def stop(self):
-        """A planned stop: what is under way ends, all is given back, so that another goes on with no gap."""
-        if not self.on:
+        """Ends running turns and returns all leases, so that another manager can continue without a gap."""
+        if not self.enabled:
             return
-        self.on = False
+        self.enabled = False
         self.timer.cancel()
         for job in list(self.jobs):
             job.cancel()
         await asyncio.gather(*self.jobs, return_exceptions=True)
-        await self.give(self.holder.leave(now()))
-        self.front.watch.duties = None
+        await self.give_back(self.holder.leave(now()))
+        self.front.catalogue_watch.duties = None
 
-    def own(self, work):
+    def spawn(self, work):
         job = asyncio.get_running_loop().create_task(work)
         self.jobs.add(job)
         job.add_done_callback(self.jobs.discard)
 
     # Leases
 
-    def fits(self):
+    def member_fits(self):
         board = self.front.fleet.board
         floor = board.floor()
         return [
@@ -73,104 +80,106 @@
         ]
 
     def tick(self):
-        self.timer = asyncio.get_running_loop().call_later(TICK_S, self.tick)
-        time, pieces = now(), duties.pieces_of(self.tasks, self.front.boxes.places)
-        if self.holder.deaf(time):
-            self.front.lines.info("leases: the service is silent, asked anew")
-            self.front.watch.nudge()
-        self.front.fleet.renew()
-        shared = share(list(pieces), eligible(self.fits())) if self.front.fleet.shut is None else {}
-        mine = {piece: pieces[piece] for piece, name in shared.items() if name == self.front.name}
-        self.holder.wants(mine, time)
-        self.turns.forget(mine)
-        self.own(self.say(time))
-        for piece, task in mine.items():
-            if self.turns.due(piece, task, time) and self.holder.may_begin(piece, time) is not None:
+        self.timer = asyncio.get_running_loop().call_later(TICK_INTERVAL_S, self.tick)
+        time_now, pieces = now(), duties.pieces_of(self.tasks, self.front.boxes.places)
+        if self.holder.deaf(time_now):
+            self.front.logger.info("leases: no answer from the service, reconnecting")
+            self.front.catalogue_watch.nudge()
+        self.front.fleet.update_own_row()
+        shares = (
+            share(list(pieces), eligible(self.member_fits())) if self.front.fleet.out_of_service_since is None else {}
+        )
+        own_pieces = {piece: pieces[piece] for piece, name in shares.items() if name == self.front.name}
+        self.holder.wants(own_pieces, time_now)
+        self.turns.forget(own_pieces)
+        self.spawn(self.send_requests(time_now))
+        for piece, task in own_pieces.items():
+            if self.turns.due(piece, task, time_now) and self.holder.may_begin(piece, time_now) is not None:
                 self.turns.begin(piece)
-                self.own(self.do(piece, task))
+                self.spawn(self.run_turn(piece, task))
 
-    async def say(self, time):
-        await self.give(self.holder.give(time, self.turns.under_way))
-        if asked := self.holder.due(time):
-            await self.front.watch.say(
-                owner=self.owner,
+    async def send_requests(self, time_now):
+        await self.give_back(self.holder.give(time_now, self.turns.under_way))
+        if requests := self.holder.due(time_now):
+            await self.front.catalogue_watch.say(
+                owner=self.lease_owner,
                 seen=self.holder.seen,
-                leases=[pb.LeaseAsk(piece=piece, token=token, number=number) for piece, token, number in asked],
+                leases=[pb.LeaseAsk(piece=piece, token=token, number=number) for piece, token, number in requests],
             )
 
-    async def give(self, rows):
+    async def give_back(self, rows):
         if rows:
-            await self.front.watch.say(
-                owner=self.owner, leases=[pb.LeaseAsk(piece=piece, token=token) for piece, token in rows]
+            await self.front.catalogue_watch.say(
+                owner=self.lease_owner, leases=[pb.LeaseAsk(piece=piece, token=token) for piece, token in rows]
             )
 
-    def source(self, up):
+    def set_service_up(self, up):
         self.holder.source(up, len(self.front.members.alive()), now())
 
-    def heard(self, reply):
-        time = now()
+    def handle_reply(self, reply):
+        time_now = now()
         if reply.WhichOneof("what") == "act":
-            if (came := self.acts.get(reply.act.number)) is not None and not came.done():
-                came.set_result(reply.act)
+            if (future := self.pending_acts.get(reply.act.number)) is not None and not future.done():
+                future.set_result(reply.act)
             return
         row = reply.lease
         if row.refused:
-            self.holder.busy(row.piece, row.number, row.owner, row.token, row.left_ms * 10, time)
-        elif self.holder.granted(row.piece, row.number, row.token, time):
+            self.holder.busy(row.piece, row.number, row.owner, row.token, row.left_ms * 10, time_now)
+        elif self.holder.granted(row.piece, row.number, row.token, time_now):
             self.counts["granted"] += 1
-            self.front.lines.info("lease", piece=row.piece, token=row.token)
+            self.front.logger.info("lease", piece=row.piece, token=row.token)
 
-    # Acting
+    # Acts
 
-    async def do(self, piece, task):
-        """One turn of a duty. Each of its acts is checked, and fenced, by itself."""
-        done = False
+    async def run_turn(self, piece, task):
+        """Runs one turn of a duty; each of its acts is checked and fenced separately."""
+        completed = False
         try:
             await getattr(self, "do_" + task.name)(piece)
-            done = True
-        except Outdated as no:
-            self.holder.outdated(piece, no.token)
+            completed = True
+        except LeaseOutdated as error:
+            self.holder.outdated(piece, error.token)
             self.counts["refused"] += 1
-            self.front.lines.info("lease outdated", piece=piece, known=no.token)
-        except (OSError, ValueError, asyncio.TimeoutError, msgspec.MsgspecError) as bad:
+            self.front.logger.info("lease outdated", piece=piece, known=error.token)
+        except (OSError, ValueError, asyncio.TimeoutError, msgspec.MsgspecError) as error:
             self.counts["failed"] += 1
-            self.front.lines.info("duty not done", piece=piece, detail=f"{type(bad).__name__}: {bad}"[:200])
+            self.front.logger.info("duty failed", piece=piece, detail=f"{type(error).__name__}: {error}"[:200])
         finally:
-            if done:
+            if completed:
                 self.turns.over(piece, now())
             else:
                 self.turns.failed(piece, task, now())
 
-    def lease(self, piece):
+    def current_lease(self, piece):
         lease = self.holder.may_begin(piece, now())
         if lease is None:
-            raise OSError("the lease is over, or too short for a step")
-        self.front.steps.at("acting")
+            raise OSError("the lease has ended, or is too short for another step")
+        self.front.failpoints.reach("acting")
         return lease
 
-    async def act(self, piece, **what):
-        """An act on the service; what it told of it."""
-        lease = self.lease(piece)
-        self.numbers += 1
-        number, came = self.numbers, asyncio.get_running_loop().create_future()
-        self.acts[number] = came
+    async def act(self, piece, **fields):
+        """Performs an act at the service and returns the service's reply."""
+        lease = self.current_lease(piece)
+        self.last_act_number += 1
+        number, future = self.last_act_number, asyncio.get_running_loop().create_future()
+        self.pending_acts[number] = future
         self.counts["acts"] += 1
         try:
-            if not await self.front.watch.say(
-                owner=self.owner,
-                acts=[pb.LeaseAct(piece=piece, token=lease.token, number=number, what=json.dumps(what).encode())],
+            if not await self.front.catalogue_watch.say(
+                owner=self.lease_owner,
+                acts=[pb.LeaseAct(piece=piece, token=lease.token, number=number, what=json.dumps(fields).encode())],
             ):
-                raise OSError("no way to the service")
-            async with asyncio.timeout(ACT_S):
-                told = await came
+                raise OSError("no connection to the service")
+            async with asyncio.timeout(ACT_TIMEOUT_S):
+                answer = await future
         finally:
-            del self.acts[number]
-        if told.token:
-            raise Outdated(told.token)
-        if told.refused:
-            raise ValueError(told.refused)
-        self.front.lines.info("duty", piece=piece, token=lease.token, said=told.said.decode()[:300])
-        return json.loads(told.said)
+            del self.pending_acts[number]
+        if answer.token:
+            raise LeaseOutdated(answer.token)
+        if answer.refused:
+            raise ValueError(answer.refused)
+        self.front.logger.info("duty", piece=piece, token=lease.token, said=answer.said.decode()[:300])
+        return json.loads(answer.said)
 
     async def do_compact(self, piece):
         await self.act(piece)
@@ -179,8 +188,8 @@
         await self.act(piece)
 
     async def do_reports(self, piece):
-        """The fleet's state in few words: who answers, what each holds and owes, what each account spans."""
-        rows = await self.gather()
+        """Reports the state of the fleet: who answers, what each one holds and has pending, what its account spans."""
+        rows = await self.gather_accounts()
         await self.act(
             piece,
             members={name: row and {k: v for k, v in row.items() if k != "demand"} for name, row in rows.items()},
@@ -188,44 +197,46 @@
         )
 
     async def do_copies(self, piece):
-        """A proposal of copies for what plays now; an operator may take it. Another process solves it."""
-        front, asked = self.front, Counter()
-        for row in (await self.gather()).values():
-            asked.update((row or {}).get("demand", {}))
-        follower, places, fleet = front.watch.follower, front.book.rows, front.site.fleet
-        demand = {title: float(n) for title, n in asked.items() if title in follower.titles}
+        """Proposes copies of titles for the current demand, which an operator may apply; another process solves it."""
+        front, requested_kb = self.front, Counter()
+        for row in (await self.gather_accounts()).values():
+            requested_kb.update((row or {}).get("demand", {}))
+        follower, places, fleet = front.catalogue_watch.follower, front.box_list.rows, front.site.fleet
+        demand = {title: float(n) for title, n in requested_kb.items() if title in follower.titles}
         if not demand or not places:
             await self.act(piece, demand=0, add=[], drop=[])
             return
-        question = {
+        problem = {
             "boxes": [
-                (id, fleet.kb_per_weight * (row.weight or 1), row.cell % fleet.racks, ROOM)
+                (id, fleet.kb_per_weight * (row.weight or 1), row.cell % fleet.racks, PLAN_TITLES_PER_BOX)
                 for id, row in places.items()
             ],
             "uplinks": {str(rack): fleet.uplink_kb for rack in range(fleet.racks)},
             "demand": demand,
             "value": {},
-            "moves": MOVES,
-            "copies": COPIES,
+            "moves": PLAN_MAX_MOVES,
+            "copies": PLAN_COPIES,
         }
-        held = {
-            name: [b for b, s in t.holders if s == "holding"] for name, t in follower.titles.items() if name in demand
+        holders = {
+            name: [box for box, state in title.holders if state == "holding"]
+            for name, title in follower.titles.items()
+            if name in demand
         }
         step = self.tasks["copies"].step / 10_000
-        made = msgspec.json.decode(await self.solved(msgspec.json.encode([question, held, step / 2]), step))
+        plan = msgspec.json.decode(await self.run_planner(msgspec.json.encode([problem, holders, step / 2]), step))
         await self.act(
             piece,
-            demand=round(sum(asked.values())),
+            demand=round(sum(requested_kb.values())),
             titles=len(demand),
-            add=made[0][:MOVES],
-            drop=made[1][:MOVES],
-            before=made[2],
-            after=made[3],
+            add=plan[0][:PLAN_MAX_MOVES],
+            drop=plan[1][:PLAN_MAX_MOVES],
+            before=plan[2],
+            after=plan[3],
         )
 
     @staticmethod
-    async def solved(asked, within):
-        """What the planner's own process says, its last line; OSError where it says nothing in time."""
+    async def run_planner(problem, timeout_s):
+        """Returns the last output line of the planner process; OSError if it does not finish in time."""
         child = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -236,55 +247,58 @@
             stderr=asyncio.subprocess.DEVNULL,
         )
         try:
-            async with asyncio.timeout(within):
-                said, _ = await child.communicate(asked)
+            async with asyncio.timeout(timeout_s):
+                output, _ = await child.communicate(problem)
         finally:
             if child.returncode is None:
                 child.kill()
                 await child.wait()
         if child.returncode:
             raise OSError(f"the planner ended with {child.returncode}")
-        return said.splitlines()[-1]
+        return output.splitlines()[-1]
 
-    async def gather(self):
-        """{manager: its account of itself, None where it does not answer in time}."""
+    async def gather_accounts(self):
+        """Returns {manager: its own account, or None if it does not answer in time}."""
 
-        async def one(name):
+        async def account_of(name):
             if name == self.front.name:
-                return self.account()
+                return self.own_account()
             try:
-                return msgspec.json.decode((await self.front.fleet.call(name, "/fleet/duty", STATE_S)).body)
+                return msgspec.json.decode((await self.front.fleet.call(name, "/fleet/duty", STATE_TIMEOUT_S)).body)
             except (OSError, msgspec.MsgspecError):
                 return None
 
         names = self.front.members.alive()
-        return dict(zip(names, await asyncio.gather(*(one(name) for name in names))))
+        return dict(zip(names, await asyncio.gather(*(account_of(name) for name in names))))
 
-    def account(self):
-        """What this manager tells whoever gathers the fleet's state."""
-        front, account = self.front, self.front.audit.account
+    def own_account(self):
+        """Returns this manager's report on itself, for the manager that gathers the fleet's state."""
+        front, audit_account = self.front, self.front.audit.account
         demand, kb = Counter(), front.site.ladder.kb
-        for vw in front.viewings.values():
-            held = front.runner.sessions.get(vw.id)
-            if vw.plays and held is not None and vw.offer is not None:
-                demand[vw.offer.title] += kb[0]
-        behind = round(front.site.fleet.behind_s * 10_000)
-        stragglers = front.fleet.board.stragglers(front.members.alive(), front.fleet.suspects(), behind, now())
+        for viewing in front.viewings.values():
+            session_record = front.runner.sessions.get(viewing.id)
+            if viewing.plays and session_record is not None and viewing.offer is not None:
+                demand[viewing.offer.title] += kb[0]
+        behind_limit = round(front.site.fleet.behind_s * 10_000)
+        stragglers = front.fleet.board.stragglers(
+            front.members.alive(), front.fleet.suspect_members(), behind_limit, now()
+        )
         return {
             "viewings": len(front.viewings),
-            "owed": front.boxes.owed.count(),
-            "boxes": len(front.book.rows),
-            "version": front.watch.follower.version,
-            "stragglers": [[s.name, s.why] for s in stragglers],
-            "rows_lost": account.lost if account else None,
+            "owed": front.boxes.pending_releases.count(),
+            "boxes": len(front.box_list.rows),
+            "version": front.catalogue_watch.follower.version,
+            "stragglers": [[straggler.name, straggler.why] for straggler in stragglers],
+            "rows_lost": audit_account.lost if audit_account else None,
             "stamp": front.audit.stamps.number,
             "demand": dict(demand),
         }
 
     async def do_orphans(self, piece):
-        """Sessions of a box that no living manager has, and that nobody took over: of one that none of us knew, say.
+        """Takes up a box's sessions that belong to no living manager and that no manager has taken over.
 
-        Those that are watched are taken up like any other, the rest is claimed and ended.
+        Their owner may be a manager that no living one has known, for example. Watched sessions are taken over, the
+        others are claimed and ended.
         """
         box = int(piece.partition("/")[2])
         place = self.front.boxes.places.get(box)
@@ -292,32 +306,35 @@
             return
         members, sweep = self.front.members, self.sweeps.setdefault(box, duties.Sweep())
         found, alive = await members.call(place, "GET", "/manager/sessions", None, Sessions), members.alive()
-        lone = sweep.look([(r.key, r.owner, r.epoch) for r in found.sessions], alive, now())
-        for owner in sorted({o.owner for o in lone}):
-            keys, owed = {o.key for o in lone if o.owner == owner}, await self.front.lent.of(owner, box)
-            lease = self.lease(piece)
+        orphans = sweep.look([(session.key, session.owner, session.epoch) for session in found.sessions], alive, now())
+        for owner in sorted({orphan.owner for orphan in orphans}):
+            keys, pending = (
+                {orphan.key for orphan in orphans if orphan.owner == owner},
+                await self.front.release_replicas.pending_for(owner, box),
+            )
+            lease = self.current_lease(piece)
             self.counts["acts"] += 1
-            self.front.lines.info("orphans", box=box, owner=owner, count=len(keys), token=lease.token)
+            self.front.logger.info("orphans", box=box, owner=owner, count=len(keys), token=lease.token)
             await members.claim(
                 box,
                 place,
                 owner,
-                Sessions(found.boot, [r for r in found.sessions if r.key in keys]),
+                Sessions(found.boot, [session for session in found.sessions if session.key in keys]),
                 len(alive),
-                owed,
-                [(FIELD, f"{piece};{lease.token};{self.owner}")],
+                pending,
+                [(LEASE_HEADER, f"{piece};{lease.token};{self.lease_owner}")],
             )
 
     def state(self):
-        time = now()
+        time_now = now()
         return {
-            "on": self.on,
+            "on": self.enabled,
             **self.counts,
             "seen": self.holder.seen,
             "holds": {
-                piece: {"token": held.token, "left_s": (held.until - time) / 10_000}
+                piece: {"token": held.token, "left_s": (held.until - time_now) / 10_000}
                 for piece, held in sorted(self.holder.wanted.items())
-                if self.holder.holds(piece, time)
+                if self.holder.holds(piece, time_now)
             },
             "refused": {piece: list(row) for piece, row in sorted(self.holder.refused.items())},
         }
--- a/flaxscale/front/failpoints.py
+++ b/flaxscale/front/failpoints.py
@@ -1,27 +1,33 @@
-"""Steps of a set-up, or of a take-over, at which the lab kills or stops a manager: a hidden option, nothing in service.
+"""Failpoints of set-ups, takeovers and lease acts at which the lab kills or stops a manager: a hidden option.
 
-A process that ends itself at a named step dies at that step each time, which a signal from outside can't promise.
+A process that signals itself at a named point fails at that very point each time, which an external signal can't
+guarantee.
 """
 
 import os
 import signal
 
-STEPS = ("taken", "told", "sent", "begun", "kept", "answered")
-ACTING = ("acting",)  # between the check of a lease and the act under it
-TAKING = ("asking", "claiming", "granted", "adopted")  # sessions of a dead manager's, box by box
-ACTS = {"kill": signal.SIGKILL, "stop": signal.SIGSTOP}
+SETUP_STEPS = ("taken", "told", "sent", "begun", "kept", "answered")
+LEASE_STEPS = ("acting",)  # between the check of a lease and the act under it
+TAKEOVER_STEPS = ("asking", "claiming", "granted", "adopted")  # takeover of a dead manager's sessions, box by box
+SIGNALS = {"kill": signal.SIGKILL, "stop": signal.SIGSTOP}
 
 
-class Steps:
+class Failpoints:
+    """The failpoint that this process was started with, if any."""
+
     def __init__(self, spec=None):
-        """spec: STEP:kill or STEP:stop; ValueError where it is neither."""
-        self.step, _, act = (spec or "").partition(":")
-        if spec and (self.step not in STEPS + TAKING + ACTING or act not in ACTS):
-            raise ValueError(f"a step of {', '.join(STEPS + TAKING + ACTING)}, then :kill or :stop, expected: {spec!r}")
-        self.signal = ACTS.get(act)
+        """spec: STEP:kill or STEP:stop; ValueError for anything else."""
+        self.step, _, action = (spec or "").partition(":")
+        if spec and (self.step not in SETUP_STEPS + TAKEOVER_STEPS + LEASE_STEPS or action not in SIGNALS):
+            raise ValueError(
+                f"a step of {', '.join(SETUP_STEPS + TAKEOVER_STEPS + LEASE_STEPS)}, "
+                f"then :kill or :stop, expected: {spec!r}"
+            )
+        self.signal = SIGNALS.get(action)
 
-    def at(self, step):
-        """We are there, once: a manager that was stopped goes on from here."""
+    def reach(self, step):
+        """Sends the signal the first time the point is reached; a stopped manager continues from here."""
         if step == self.step:
             self.step = ""
             os.kill(os.getpid(), self.signal)
--- a/flaxscale/front/fleet.py
+++ b/flaxscale/front/fleet.py
@@ -1,6 +1,8 @@
-"""One manager among the fleet's versions, on its sockets: rows that ride on members' messages, bringing up, being shut
-out and coming back, and what it gives others. Paths under /fleet: catalogue and digest for managers (signed with a
-member's key), account for operators. Only where managers talk and a catalogue service spreads versions.
+"""Catalogue versions across the fleet, at one manager: rows attached to member messages, catching up from other
+managers, going out of service below the version floor, and serving copies to others.
+
+Paths under /fleet: catalogue and digest for managers (signed with a member key), account for operators. Enabled only
+where managers exchange messages and a catalogue service distributes versions.
 """
 
 import asyncio
@@ -20,41 +22,47 @@
 from ..versions import handing
 from ..versions.board import Board
 from ..versions.bringup import BYTES, BringUp, Giver
-from .boxes import FLOOR
+from .boxes import FLOOR_HEADER
 
-TICK_S = 0.25
-STEADY = 10_000  # up again for so long before anything new is taken
-FETCH_S = 20.0  # a transfer that is not over by then is given up
-DIGEST_S = 1.0
-TELLERS = 2  # managers that tell a box which none may have a stream to
-WITNESSES = 2  # other managers that are asked what a version amounts to
-SLICE = 1_000  # titles encoded between two turns of the loop
-TELL_S = 0.5  # boxes hear of a new floor within this
-SIGNED = "flaxscale-signed"
+TICK_INTERVAL_S = 0.25
+RETURN_DELAY = 10_000  # tenths of a millisecond above the floor before new viewings are accepted again
+FETCH_TIMEOUT_S = 20.0  # a transfer is given up after this time
+DIGEST_TIMEOUT_S = 1.0
+FLOOR_NOTIFIERS = 2  # managers that inform a box to which no manager may have a stream
+CONFIRMING_MEMBERS = 2  # other managers whose digests should confirm a copied version
+ENCODE_BATCH = 1_000  # titles encoded before yielding to the event loop
+FLOOR_NOTICE_SPREAD_S = 0.5  # notices of a new floor to boxes are spread over this time
+SIGNATURE_HEADER = "flaxscale-signed"
 
 
 class FrontFleet:
+    """One manager's part in distributing catalogue versions."""
+
     def __init__(self, front):
-        self.front, self.on = front, False
-        self.board, self.up, self.giver = (
+        self.front, self.enabled = front, False
+        self.board, self.catch_up, self.copy_sender = (
             Board(front.name, front.boot),
-            BringUp(front.name, front.sense.seed),
+            BringUp(front.name, front.site_terms.seed),
             Giver(now()),
         )
-        self.lies = False  # the lab's: damages what it hands over
-        self.shut = None  # since when nothing new is taken
-        self.told_floor, self.left_epoch, self.level_since, self.epoch = 0, None, None, None
+        self.corrupts_copies = False  # for the lab: damages the copies that it serves
+        self.out_of_service_since = None  # since when no new viewings are accepted
+        self.announced_floor, self.abandoned_epoch, self.above_floor_since, self.epoch = 0, None, None, None
         self.timer, self.jobs, self.counts = (
             None,
             set(),
             dict.fromkeys(("nudges", "brought_up", "copies_refused", "sent_on", "shut_out", "refused_by_boxes"), 0),
         )
 
-    # Life
+    # Start and stop
 
     def start(self):
-        self.on = self.front.watch is not None and self.front.members.shell is not None and not self.front.older
-        if self.on:
+        self.enabled = (
+            self.front.catalogue_watch is not None
+            and self.front.members.shell is not None
+            and not self.front.unversioned
+        )
+        if self.enabled:
             self.tick()
 
     def stop(self):
@@ -63,48 +71,48 @@
         for job in list(self.jobs):
             job.cancel()
 
-    def own(self, work):
+    def spawn(self, work):
         job = asyncio.get_running_loop().create_task(work)
         self.jobs.add(job)
         job.add_done_callback(self.jobs.discard)
 
-    # On members' messages
+    # Rows of member messages
 
-    def renew(self):
+    def update_own_row(self):
         front = self.front
-        more = {
-            "list_version": front.book.version or 0,
-            "settings": front.mark,
+        figures = {
+            "list_version": front.box_list.version or 0,
+            "settings": front.settings_digest,
             "full": full(len(front.viewings), front.site.front.held_most, front.gate.rate is not None),
-            "slow": front.still.slow(now()),
+            "slow": front.stall_detector.slow(now()),
         }
-        if self.on:
-            f = front.watch.follower
-            more |= {
-                "epoch": f.epoch or "",
-                "version": f.version or 0,
-                "floor": max(f.floor, self.told_floor),
-                "digest": f.sum,
-                "up": front.watch.up,
-                "refused": front.watch.refused,
+        if self.enabled:
+            follower = front.catalogue_watch.follower
+            figures |= {
+                "epoch": follower.epoch or "",
+                "version": follower.version or 0,
+                "floor": max(follower.floor, self.announced_floor),
+                "digest": follower.sum,
+                "up": front.catalogue_watch.up,
+                "refused": front.catalogue_watch.refused,
             }
-        self.board.mine(**more)
+        self.board.mine(**figures)
 
-    def rides(self, members):
-        if self.front.older:
+    def attached_rows(self, members):
+        if self.front.unversioned:
             return ()
-        self.renew()
+        self.update_own_row()
         return self.board.rides(members)
 
     def full(self):
-        """Members that say that they take nothing more, ourselves among them where we don't."""
-        self.renew()
+        """Returns the names of the members that accept nothing more, including this manager if it is full."""
+        self.update_own_row()
         return {row.name for row in (self.board.me, *self.board.rows.values()) if row.full}
 
-    def hear(self, rows, sender):
-        time = now()
+    def receive_rows(self, rows, sender):
+        time_now = now()
         for row in rows:
-            self.board.hear(row, sender, self.boot_of, time)
+            self.board.hear(row, sender, self.boot_of, time_now)
 
     def boot_of(self, name):
         member = self.front.members.shell.swim.members.get(name)
@@ -113,254 +121,273 @@
     def alive(self):
         return self.front.members.alive()
 
-    def suspects(self):
+    def suspect_members(self):
         return [
-            m.name for m in self.front.members.shell.swim.members.values() if m.state in (State.SUSPECT, State.DEAD)
+            member.name
+            for member in self.front.members.shell.swim.members.values()
+            if member.state in (State.SUSPECT, State.DEAD)
         ]
 
-    # Being behind
+    # Catching up
 
     def tick(self):
-        self.timer = asyncio.get_running_loop().call_later(TICK_S, self.tick)
+        self.timer = asyncio.get_running_loop().call_later(TICK_INTERVAL_S, self.tick)
         if self.front.server.stopping:
             return
-        time, alive = now(), self.alive()
-        self.renew()
-        newest = self.board.look(alive, time)
-        self.mind_floor(time)
-        since = self.board.behind_since
+        time_now, alive = now(), self.alive()
+        self.update_own_row()
+        newest = self.board.look(alive, time_now)
+        self.check_floor(time_now)
+        behind_since = self.board.behind_since
         givers = (
             [
                 row.name
                 for row in self.board.living(alive)
                 if row.name != self.front.name and newest is not None and row.at() == newest
             ]
-            if since is not None
+            if behind_since is not None
             else ()
         )
-        step = self.up.look(time, since, self.board.count_behind(alive), givers)
+        step = self.catch_up.look(time_now, behind_since, self.board.count_behind(alive), givers)
         if step.nudge:
             self.counts["nudges"] += 1
-            self.front.lines.info("behind: source asked anew", since=time - since, newest=newest)
-            self.front.watch.nudge()
-            if self.front.follower:
-                self.front.follower.nudge()
+            self.front.logger.info("behind: reconnecting to the source", since=time_now - behind_since, newest=newest)
+            self.front.catalogue_watch.nudge()
+            if self.front.list_follower:
+                self.front.list_follower.reconnect()
         if step.peer is not None:
-            self.own(self.fetch(step.peer, newest))
-
-    async def call(self, name, target, seconds):
-        """A signed GET at another manager: its Answer; OSError otherwise."""
-        serves = self.front.members.serves(name)
-        if serves is None:
-            raise OSError(f"{name} is not known")
-        host, _, port = serves.rpartition(":")
+            self.spawn(self.fetch(step.peer, newest))
+
+    async def call(self, name, target, timeout_s):
+        """Sends a signed GET to another manager and returns its Answer; OSError on failure."""
+        service_address = self.front.members.service_address(name)
+        if service_address is None:
+            raise OSError(f"{name} has no known address")
+        host, _, port = service_address.rpartition(":")
         result = await self.front.boxes.pool.ask(
             host,
             int(port),
             "GET",
             target,
-            [(SIGNED, members_wire.sign(target, self.front.members.keys[0]))],
+            [(SIGNATURE_HEADER, members_wire.sign(target, self.front.members.member_keys[0]))],
             b"",
-            seconds,
+            timeout_s,
         )
         if result.status != 200:
             raise OSError(f"status {result.status}")
         return result
 
     async def fetch(self, peer, newest):
-        """Asks another manager for its copy, and takes it on where it is what it says."""
-        follower, lines, good, lied = self.front.watch.follower, self.front.lines, False, False
+        """Fetches another manager's copy of the catalogue and applies it if its digest is confirmed."""
+        follower, logger, applied, is_damaged = self.front.catalogue_watch.follower, self.front.logger, False, False
         try:
             since = follower.version if follower.epoch == newest.epoch else -1
             result = await self.call(
-                peer, f"/fleet/catalogue?epoch={newest.epoch}&since={since}&from={self.front.name}", FETCH_S
+                peer, f"/fleet/catalogue?epoch={newest.epoch}&since={since}&from={self.front.name}", FETCH_TIMEOUT_S
             )
-            told_by = await self.witnesses(peer, newest.epoch, handing.version_of(result.body))
-            epoch, messages = handing.taken(result.body, follower, newest.epoch, told_by)
-            self.front.watch.handed(epoch, messages)
-            good = True
+            digests = await self.confirming_digests(peer, newest.epoch, handing.version_of(result.body))
+            epoch, messages = handing.taken(result.body, follower, newest.epoch, digests)
+            self.front.catalogue_watch.handed(epoch, messages)
+            applied = True
             self.counts["brought_up"] += 1
-            lines.info("brought up", by=peer, epoch=epoch, version=follower.version, bytes=len(result.body))
-        except ValueError as bad:
-            lied = getattr(bad, "lied", False)
+            logger.info("caught up", by=peer, epoch=epoch, version=follower.version, bytes=len(result.body))
+        except ValueError as error:
+            is_damaged = getattr(error, "lied", False)
             self.counts["copies_refused"] += 1
-            lines.warning("copy refused", by=peer, why=str(bad)[:300])
-        except OSError as bad:
-            lines.info("not brought up", by=peer, detail=str(bad)[:200])
+            logger.warning("copy refused", by=peer, why=str(error)[:300])
+        except OSError as error:
+            logger.info("not caught up", by=peer, detail=str(error)[:200])
         finally:
-            self.up.came(now(), good, lied)
+            self.catch_up.came(now(), applied, is_damaged)
 
-    async def witnesses(self, giver, epoch, version):
-        """{name: digest} of others that hold a version, by the members' rows or asked for."""
+    async def confirming_digests(self, giver, epoch, version):
+        """Returns {name: digest} of other members that have a version, from their rows or by asking them."""
         rows = [
             row
             for row in self.board.living(self.alive())
             if row.name not in (giver, self.front.name) and row.epoch == epoch
         ]
-        told_by = {row.name: row.digest for row in rows if row.version == version and row.digest}
-        able = sorted(row.name for row in rows if row.name not in told_by)  # it may know it by now, or still
-        for name in able[: max(0, WITNESSES - len(told_by))]:
+        digests = {row.name: row.digest for row in rows if row.version == version and row.digest}
+        # may have the version by now, or still know it
+        candidates = sorted(row.name for row in rows if row.name not in digests)
+        for name in candidates[: max(0, CONFIRMING_MEMBERS - len(digests))]:
             with contextlib.suppress(OSError, ValueError):
-                result = await self.call(name, f"/fleet/digest?epoch={epoch}&version={version}", DIGEST_S)
-                told_by[name] = msgspec.json.decode(result.body, type=int)
-        return handing.Told(told_by, len(self.alive()) > 2)
+                result = await self.call(name, f"/fleet/digest?epoch={epoch}&version={version}", DIGEST_TIMEOUT_S)
+                digests[name] = msgspec.json.decode(result.body, type=int)
+        return handing.Told(digests, len(self.alive()) > 2)
 
-    # The floor
+    # Version floor
 
-    def refused(self, box, headers):
-        """A box refused what came under our version."""
+    def refused_by_box(self, box, headers):
+        """Handles a box's refusal of this manager's version."""
         self.counts["refused_by_boxes"] += 1
-        epoch, _, rest = headers[FLOOR].partition(";")
+        epoch, _, rest = headers[FLOOR_HEADER].partition(";")
         floor, _, unknown = rest.partition(";")
         if unknown:
             self.front.audit.stamps.unknown(box)
             return
-        if not self.on or not floor.isdigit():
+        if not self.enabled or not floor.isdigit():
             return
-        f = self.front.watch.follower
-        if epoch == f.epoch:
-            self.told_floor = max(self.told_floor, int(floor))
-        elif f.epoch:
-            self.left_epoch = f.epoch  # that box has left this epoch behind
-        self.mind_floor(now())
-
-    def under(self):
-        f = self.front.watch.follower
-        if f.epoch != self.left_epoch:
-            self.left_epoch = None
-        return self.left_epoch is not None or (f.version or 0) < self.floor()
+        follower = self.front.catalogue_watch.follower
+        if epoch == follower.epoch:
+            self.announced_floor = max(self.announced_floor, int(floor))
+        elif follower.epoch:
+            self.abandoned_epoch = follower.epoch  # the box no longer uses this epoch
+        self.check_floor(now())
+
+    def below_floor(self):
+        follower = self.front.catalogue_watch.follower
+        if follower.epoch != self.abandoned_epoch:
+            self.abandoned_epoch = None
+        return self.abandoned_epoch is not None or (follower.version or 0) < self.floor()
 
     def floor(self):
-        """The highest that we know of, of our epoch."""
-        return max(self.board.floor(), self.told_floor if self.front.watch.follower.epoch else 0)
-
-    def mind_floor(self, time):
-        """Goes out of service for new viewings while under the floor, and back by itself once it is up."""
-        if self.under():
-            self.level_since = None
-            if self.shut is None:
-                self.shut, f = time, self.front.watch.follower
+        """Returns the highest floor known for the current epoch."""
+        return max(self.board.floor(), self.announced_floor if self.front.catalogue_watch.follower.epoch else 0)
+
+    def check_floor(self, time_now):
+        """Stops accepting new viewings below the version floor, and accepts them again once above it for a while."""
+        if self.below_floor():
+            self.above_floor_since = None
+            if self.out_of_service_since is None:
+                self.out_of_service_since, follower = time_now, self.front.catalogue_watch.follower
                 self.counts["shut_out"] += 1
-                self.front.audit.did("shut", f"{f.epoch};{f.version}")
-                self.front.lines.warning(
-                    "under the floor: nothing new is taken",
-                    version=f.version,
+                self.front.audit.record("shut", f"{follower.epoch};{follower.version}")
+                self.front.logger.warning(
+                    "below the version floor: no new viewings accepted",
+                    version=follower.version,
                     floor=self.floor(),
                     viewings=len(self.front.viewings),
                 )
                 if len(self.alive()) > 1:
-                    self.front.members.leave()  # others claim what plays here
+                    self.front.members.leave()  # other managers claim the sessions that play here
             return
-        if self.shut is None:
+        if self.out_of_service_since is None:
             return
-        self.level_since = self.level_since or time
-        if time - self.level_since >= STEADY:
-            self.front.lines.info(
-                "over the floor again", version=self.front.watch.follower.version, after=time - self.shut
+        self.above_floor_since = self.above_floor_since or time_now
+        if time_now - self.above_floor_since >= RETURN_DELAY:
+            self.front.logger.info(
+                "above the version floor again",
+                version=self.front.catalogue_watch.follower.version,
+                after=time_now - self.out_of_service_since,
             )
-            self.shut = self.level_since = None
-            self.front.audit.did("open", "")
-            self.front.members.back()
+            self.out_of_service_since = self.above_floor_since = None
+            self.front.audit.record("open", "")
+            self.front.members.rejoin()
 
-    def versions(self, follower):
-        """A version was taken. Where it raises the floor, boxes that the source does not reach hear it from us."""
+    def version_taken(self, follower):
+        """Handles a new catalogue version: if it raises the floor, informs boxes that the source may not reach."""
         if follower.epoch != self.epoch:
-            self.epoch, self.told_floor = follower.epoch, 0
-        if follower.floor <= self.told_floor:
+            self.epoch, self.announced_floor = follower.epoch, 0
+        if follower.floor <= self.announced_floor:
             return
-        self.told_floor = floor = follower.floor
-        if not self.on:
+        self.announced_floor = floor = follower.floor
+        if not self.enabled:
             return
         loop = asyncio.get_running_loop()
-        for box in [box for box in self.front.boxes.places if box in self.front.boxes.streams or self.tells(box)]:
-            chance = drawn(b"%d:floor:%d:%d" % (self.front.sense.seed, box, floor))
-            loop.call_later(chance * TELL_S, self.front.boxes.tell_stamp, box)
+        for box in [box for box in self.front.boxes.places if box in self.front.boxes.streams or self.notifies(box)]:
+            fraction = drawn(b"%d:floor:%d:%d" % (self.front.site_terms.seed, box, floor))
+            loop.call_later(fraction * FLOOR_NOTICE_SPREAD_S, self.front.boxes.send_stamp, box)
 
-    def tells(self, box):
-        """Whether it is ours to tell a box that none of us may have a stream to: two managers do, by the hashing."""
+    def notifies(self, box):
+        """Tells whether this manager informs a box that may have no stream to any manager; hashing selects two."""
         others = list(self.alive())
-        for _ in range(TELLERS):
+        for _ in range(FLOOR_NOTIFIERS):
             if others:
-                others.remove(first := keeper_of(f"floor-{box}", others))
-                if first == self.front.name:
+                others.remove(notifier := keeper_of(f"floor-{box}", others))
+                if notifier == self.front.name:
                     return True
         return False
 
-    def turn_away(self, exchange, viewer):
-        """Answers at once, with whom to ask, while nothing new may be taken."""
-        if self.shut is None:
+    def redirect_if_out_of_service(self, exchange, viewer):
+        """Redirects a new request, or refuses it, while this manager is out of service."""
+        if self.out_of_service_since is None:
             return
         self.counts["sent_on"] += 1
-        if at := self.front.members.another(viewer):
+        if address := self.front.members.alternative_for(viewer):
             raise Refusal(
-                307, "this manager goes by too old a version", [("Location", f"http://{at}{exchange.request.target}")]
+                307,
+                "this manager's catalogue version is too old",
+                [("Location", f"http://{address}{exchange.request.target}")],
             )
-        raise Refusal(503, "this manager goes by too old a version, and knows of no other", [("Retry-After", "1")])
+        raise Refusal(
+            503, "this manager's catalogue version is too old, and no other manager is known", [("Retry-After", "1")]
+        )
 
-    # What others ask
+    # Requests from other managers
 
-    def handle(self, exchange, what):
+    def handle(self, exchange, resource):
         path, _, query = exchange.request.target.partition("?")
         args = dict(parse_qsl(query))
-        if what == "account":
-            self.front.check_operator(exchange, "an account stays on its manager's disk")
-            self.tell_account(exchange, args)
+        if resource == "account":
+            self.front.check_operator(exchange, "the account is only readable on the manager's disk")
+            self.send_account(exchange, args)
             return
         if self.front.members.shell is None:
-            raise Refusal(404, "managers don't talk here")
+            raise Refusal(404, "managers exchange no messages here")
         if not members_wire.signed(
-            exchange.request.target, exchange.request.headers.get(SIGNED), self.front.members.keys
+            exchange.request.target, exchange.request.headers.get(SIGNATURE_HEADER), self.front.members.member_keys
         ):
-            raise Refusal(401, "managers sign with a member's key")
-        if what == "try":
-            exchange.respond(200, [("Content-Type", "application/json")], self.front.tries.asked(args))
+            raise Refusal(401, "a signature with a member key is required")
+        if resource == "try":
+            exchange.respond(200, [("Content-Type", "application/json")], self.front.retries.handle_lookup(args))
             return
-        if what == "duty":
-            if not self.front.duties.on:
-                raise Refusal(404, "no duties are on here")
+        if resource == "duty":
+            if not self.front.duties.enabled:
+                raise Refusal(404, "duties are disabled here")
             exchange.respond(
-                200, [("Content-Type", "application/json")], msgspec.json.encode(self.front.duties.account())
+                200, [("Content-Type", "application/json")], msgspec.json.encode(self.front.duties.own_account())
             )
             return
-        if what in ("owed", "owes"):
+        if resource in ("owed", "owes"):
             try:
-                exchange.respond(200, [("Content-Type", "application/json")], self.front.lent.asked(what, args))
-            except ValueError as bad:
-                raise Refusal(400, str(bad)) from None
+                exchange.respond(
+                    200,
+                    [("Content-Type", "application/json")],
+                    self.front.release_replicas.handle_request(resource, args),
+                )
+            except ValueError as error:
+                raise Refusal(400, str(error)) from None
             return
-        if not self.on:
-            raise Refusal(404, "no versions are spread here")
-        if what == "digest":
-            f, version = self.front.watch, args.get("version", "")
-            known = f.sums.get(int(version)) if version.isdecimal() and args.get("epoch") == f.follower.epoch else None
+        if not self.enabled:
+            raise Refusal(404, "version distribution is disabled here")
+        if resource == "digest":
+            catalogue_watch, version = self.front.catalogue_watch, args.get("version", "")
+            known = (
+                catalogue_watch.sums.get(int(version))
+                if version.isdecimal() and args.get("epoch") == catalogue_watch.follower.epoch
+                else None
+            )
             if known is None:
-                raise Refusal(404, "this version is not known here")
+                raise Refusal(404, "this version is unknown here")
             exchange.respond(200, [("Content-Type", "application/json")], str(known).encode())
             return
-        if not self.giver.may(now()):
-            raise Refusal(503, "others are just being brought up", [("Retry-After", "1")])
-        self.own(self.give(exchange, args))
+        if not self.copy_sender.may(now()):
+            raise Refusal(503, "too many copies are being sent, retry", [("Retry-After", "1")])
+        self.spawn(self.give_copy(exchange, args))
 
-    async def give(self, exchange, args):
-        watch, since, made = self.front.watch, args.get("since", ""), b""
+    async def give_copy(self, exchange, args):
+        catalogue_watch, since, copy = self.front.catalogue_watch, args.get("since", ""), b""
         since = int(since) if since.isdecimal() else -1
         try:
-            made = handing.changes(self.front.name, watch.follower, watch.recent, args.get("epoch"), since)
-            if made is None:
+            copy = handing.changes(
+                self.front.name, catalogue_watch.follower, catalogue_watch.recent, args.get("epoch"), since
+            )
+            if copy is None:
                 parts = []
-                for part in handing.whole(self.front.name, watch.follower, SLICE):
+                for part in handing.whole(self.front.name, catalogue_watch.follower, ENCODE_BATCH):
                     parts.append(part)
                     await asyncio.sleep(0)
-                made = b"".join(parts)
-            if self.lies:
-                made = made[: len(made) // 2] + bytes([made[len(made) // 2] ^ 0x01]) + made[len(made) // 2 + 1 :]
-            self.front.lines.info("copy given", to=args.get("from", "")[:40], since=since, bytes=len(made))
-            exchange.respond(200, [("Content-Type", "application/msgpack")], made)
-        finally:  # it counts as out for as long as its bytes may take
-            size = len(made or b"")
-            asyncio.get_running_loop().call_later(size / BYTES, self.giver.done, size)
-
-    def tell_account(self, exchange, args):
+                copy = b"".join(parts)
+            if self.corrupts_copies:
+                copy = copy[: len(copy) // 2] + bytes([copy[len(copy) // 2] ^ 0x01]) + copy[len(copy) // 2 + 1 :]
+            self.front.logger.info("copy sent", to=args.get("from", "")[:40], since=since, bytes=len(copy))
+            exchange.respond(200, [("Content-Type", "application/msgpack")], copy)
+        finally:  # counted as being sent for as long as the transfer may take
+            size = len(copy or b"")
+            asyncio.get_running_loop().call_later(size / BYTES, self.copy_sender.done, size)
+
+    def send_account(self, exchange, args):
         account = self.front.audit.account
         if account is None:
             raise Refusal(404, "this manager keeps no account")
@@ -372,32 +399,34 @@
             b"".join(msgspec.json.encode(plain(row)) + b"\n" for row in rows),
         )
 
-    # What is said of it
+    # State report
 
     def state(self):
-        if not self.on:
+        if not self.enabled:
             return {"on": False}
-        time, alive = now(), self.alive()
+        time_now, alive = now(), self.alive()
         behind = round(self.front.site.fleet.behind_s * 10_000)
         return {
             "on": True,
-            "shut_out_for_s": None if self.shut is None else (time - self.shut) / 10_000,
+            "shut_out_for_s": None
+            if self.out_of_service_since is None
+            else (time_now - self.out_of_service_since) / 10_000,
             "floor": self.floor(),
             "newest": self.board.newest(alive),
             **self.counts,
-            "given": self.giver.given,
-            "giving_refused": self.giver.refused,
+            "given": self.copy_sender.given,
+            "giving_refused": self.copy_sender.refused,
             "rows": {
                 row.name: {
                     **row._asdict(),
                     "heard_s_ago": 0
                     if row.name == self.front.name
-                    else (time - self.board.heard_at.get(row.name, time)) / 10_000,
+                    else (time_now - self.board.heard_at.get(row.name, time_now)) / 10_000,
                 }
                 for row in [self.board.me, *self.board.rows.values()]
             },
             "stragglers": [
-                {**s._asdict(), "since_s": (time - s.since) / 10_000}
-                for s in self.board.stragglers(alive, self.suspects(), behind, time)
+                {**straggler._asdict(), "since_s": (time_now - straggler.since) / 10_000}
+                for straggler in self.board.stragglers(alive, self.suspect_members(), behind, time_now)
             ],
         }
--- a/flaxscale/front/front.py
+++ b/flaxscale/front/front.py
@@ -1,7 +1,7 @@
-"""One session manager on sockets: HTTP requests become events of the runner, its actions become requests to boxes.
+"""One session manager on sockets: turns HTTP requests into runner events and runner actions into requests to boxes.
 
-This is the runner's port. Which box, which rung, when to try again, when to give up and what to answer is the
-module's; what is read and written here has no choice in it.
+Implements the runner's port. The decision module selects box and rung, decides about retries and giving up, and
+determines the answer; the code here only carries that out.
 """
 
 import asyncio
@@ -35,138 +35,166 @@
 from .audit import FrontAudit
 from .boxes import Boxes
 from .duties import FrontDuties
-from .failpoints import Steps
+from .failpoints import Failpoints
 from .fleet import FrontFleet
 from .journal import FrontJournal
 from .listing import ListFollower
-from .members import FrontMembers, ask_of, cookie_out
+from .members import FrontMembers, encode_cookie, handover_request
 from .peaks import FrontPeaks
-from .release_replicas import FrontLent
-from .retries import FrontTries
+from .release_replicas import FrontReleaseReplicas
+from .retries import FrontRetries
 
-AGAIN = 300_000  # a viewer of the same title within half a minute comes again
-LAG_S = 0.025  # a timer rings so often, to see how late it is
-LINGER_S = 1.0  # a manager that leaves still sends requests on for so long: balancers hear of it late
-FRESH_S = 0.2  # a connection that was just let in has so long for its first request
-PATCH_S = 5.0  # a PATCH that the box leaves unanswered so long is given up
+RETRY_WINDOW = 300_000  # tenths of a millisecond; within this time a viewer's second request for a title is a retry
+LAG_PROBE_INTERVAL_S = 0.025  # interval of the timer that measures the lag of the event loop
+REDIRECT_LINGER_S = 1.0  # a leaving manager redirects requests this long: load balancers stop sending late
+FIRST_REQUEST_GRACE_S = 0.2  # a connection accepted just before a stop has this long to send its first request
+PATCH_TIMEOUT_S = 5.0  # a PATCH fails when the box has not answered within this time
 
 
 class Viewing:
-    """A viewing as the sockets have it."""
+    """State of one viewing: the client requests that wait, the session at its box and the box's answer."""
 
     __slots__ = (
         "id",
         "offer",
-        "askers",
+        "exchanges",
         "name",
         "key",
-        "call",
-        "came",
+        "setup_call",
+        "box_answer",
         "box",
-        "path",
-        "place",
-        "tries",
+        "session_path",
+        "box_address",
+        "attempts",
         "plays",
-        "done",
-        "asked_at",
-        "taken_at",
-        "began",
+        "closed",
+        "requested_at",
+        "accepted_at",
+        "setup_sent_at",
         "slot_wait",
         "cookie",
-        "mark",
+        "key_digest",
     )
 
     def __init__(self, id, offer, exchange, manager):
-        self.id, self.offer, self.askers = id, offer, [exchange] if exchange is not None else []
+        self.id, self.offer, self.exchanges = id, offer, [exchange] if exchange is not None else []
         self.name, self.cookie = f"{manager}.{id:x}-{secrets.token_urlsafe(12)}", ""
-        self.mark = ""  # of its client's key, where it gave one
-        self.key = self.call = self.came = self.box = self.path = self.place = None
-        self.tries, self.plays, self.done, self.began = 0, False, False, None
-        self.asked_at = self.taken_at = now()
-        self.slot_wait = 0  # what the module's slot kept it waiting, less what the timer was late
+        self.key_digest = ""  # digest of viewer, title and Idempotency-Key, where earlier attempts are looked up by it
+        self.key = self.setup_call = self.box_answer = self.box = self.session_path = self.box_address = None
+        self.attempts, self.plays, self.closed, self.setup_sent_at = 0, False, False, None
+        self.requested_at = self.accepted_at = now()
+        # time that the decision module's slot delayed the first set-up, without the lateness of the timer
+        self.slot_wait = 0
 
 
-def mark_of(site):
-    """A short mark of settings: the same file gives the same at every manager."""
+def digest_of(site):
+    """Returns a digest of the settings: the same file gives the same digest at every manager."""
     return f"{xxhash.xxh3_64_intdigest(msgspec.json.encode(site)):016x}"
 
 
 class Front:
+    """One session manager: its HTTP server, its parts and the port of its runner."""
+
     def __init__(
         self,
-        sense,
-        log,
+        site_terms,
+        logger,
         list_address=None,
-        state=None,
-        tap=None,
+        state_folder=None,
+        observer=None,
         catalogue_address=None,
         members=None,
-        reread=None,
-        leave=None,
-        via=None,
-        files=Files,
-        older=False,
-        steps=None,
+        read_settings=None,
+        begin_stop=None,
+        member_routes=None,
+        make_files=Files,
+        unversioned=False,
+        failpoints=None,
     ):
-        """members: seeds of other managers, as [HOST:PORT]; None: no talk between managers.
+        """Builds a session manager.
 
-        via: as FrontMembers has it. files: makes the disk's side of a folder. older: nothing is said of versions.
-        steps: the lab's Steps; none in service.
+        members: seeds of other managers, as [HOST:PORT]; None disables messages between managers.
+        member_routes: as in FrontMembers. make_files: creates the file access for a folder.
+        unversioned: sends no information about versions, as an older build would.
+        failpoints: for the lab only; none in service.
 
-        reread: gives the settings' file as it is now, checked (SiteError where it is not good).
-        leave: begins this program's planned end, once.
+        read_settings: returns the current, checked settings file, or raises SiteError if it is invalid.
+        begin_stop: starts the planned stop of this process, called at most once.
         """
-        self.reread, self.leave, self.load_counts = reread, leave, {"loaded": 0, "refused": 0}
-        self.sense, self.site, self.mark, self.lines = sense, sense.site, mark_of(sense.site), log
-        self.boot, self.name = secrets.token_hex(4), f"m{sense.me}"
-        self.runner = Runner(sense.terms, self, tap)
-        self.boxes = Boxes(self, sense, self.name, self.boot, log)
+        self.read_settings, self.begin_stop, self.reload_counts = read_settings, begin_stop, {"loaded": 0, "refused": 0}
+        self.site_terms, self.site, self.settings_digest, self.logger = (
+            site_terms,
+            site_terms.site,
+            digest_of(site_terms.site),
+            logger,
+        )
+        self.boot, self.name = secrets.token_hex(4), f"m{site_terms.me}"
+        self.runner = Runner(site_terms.terms, self, observer)
+        self.boxes = Boxes(self, site_terms, self.name, self.boot, logger)
         fleet = self.site.fleet
-        self.book = BoxBook(sense.kinds, sense.zones, fleet.cells, sense.terms.rules.warm_up_time)
-        self.follower = (
-            ListFollower(list_address, self.name, self.book, state, self.listed, log) if list_address else None
+        self.box_list = BoxBook(site_terms.kinds, site_terms.zones, fleet.cells, site_terms.terms.rules.warm_up_time)
+        self.list_follower = (
+            ListFollower(list_address, self.name, self.box_list, state_folder, self.list_changed, logger)
+            if list_address
+            else None
         )
-        self.watch, self.view = None, FileView(self.site)
+        self.catalogue_watch, self.catalogue_view = None, FileView(self.site)
         if catalogue_address:
-            from ..catalogued.watch import CatalogueWatch  # gRPC is slow to load and most tests need none
+            from ..catalogued.watch import CatalogueWatch  # loading gRPC is slow, and most tests do not need it
 
-            kept = files(f"{state}/catalogue-{self.name}", lasting=False) if state else None
-            self.watch = CatalogueWatch(
+            catalogue_files = (
+                make_files(f"{state_folder}/catalogue-{self.name}", lasting=False) if state_folder else None
+            )
+            self.catalogue_watch = CatalogueWatch(
                 catalogue_address,
                 self.name,
                 "manager",
-                self.title_news,
-                log,
-                kept,
+                self.titles_changed,
+                logger,
+                catalogue_files,
                 self.check_titles,
                 self.seats_in_use,
             )
-            self.view = LiveView(sense, self.watch.follower)
+            self.catalogue_view = LiveView(site_terms, self.catalogue_watch.follower)
         self.peaks = FrontPeaks(
             self,
             catalogue_address,
-            files(f"{state}/peaks-{self.name}", lasting=False) if state and catalogue_address else None,
+            make_files(f"{state_folder}/peaks-{self.name}", lasting=False)
+            if state_folder and catalogue_address
+            else None,
+        )
+        self.fleet, self.unversioned, self.failpoints = FrontFleet(self), unversioned, failpoints or Failpoints()
+        self.retries, self.release_replicas, self.duties = (
+            FrontRetries(self),
+            FrontReleaseReplicas(self),
+            FrontDuties(self),
         )
-        self.fleet, self.older, self.steps = FrontFleet(self), older, steps or Steps()
-        self.tries, self.lent, self.duties = FrontTries(self), FrontLent(self), FrontDuties(self)
-        self.members = FrontMembers(self, self.site.front.member_keys, members or (), members is not None, via)
-        self.journal = FrontJournal(self, files(f"{state}/keys-{self.name}") if state else None)
-        self.audit = FrontAudit(self, files(f"{state}/account-{self.name}", lasting=False) if state else None)
-        self.gate = Gate(sense.seed, self.site.front.gate)
-        self.still = Still(now(), round(LAG_S * 10_000))
-        row = self.site.front
-        self.keys = KeyBook(round(row.keep_answers_ms * 10))
+        self.members = FrontMembers(
+            self, self.site.front.member_keys, members or (), members is not None, member_routes
+        )
+        self.journal = FrontJournal(self, make_files(f"{state_folder}/keys-{self.name}") if state_folder else None)
+        self.audit = FrontAudit(
+            self, make_files(f"{state_folder}/account-{self.name}", lasting=False) if state_folder else None
+        )
+        self.gate = Gate(site_terms.seed, self.site.front.gate)
+        self.stall_detector = Still(now(), round(LAG_PROBE_INTERVAL_S * 10_000))
+        front_settings = self.site.front
+        self.key_book = KeyBook(round(front_settings.keep_answers_ms * 10))
         self.server = Server(
             self.handle,
-            Limits(row.head_bytes, 64, 2048, row.body_bytes),
-            Times(round(row.head_ms * 10), round(row.body_ms * 10), round(row.idle_ms * 10)),
-            row.connections,
-            may_be_gone=lambda: self.still.older(now()) > 0,
+            Limits(front_settings.head_bytes, 64, 2048, front_settings.body_bytes),
+            Times(
+                round(front_settings.head_ms * 10),
+                round(front_settings.body_ms * 10),
+                round(front_settings.idle_ms * 10),
+            ),
+            front_settings.connections,
+            may_be_gone=lambda: self.stall_detector.older(now()) > 0,
         )
-        self.viewings, self.names, self.by_key, self.seen = {}, {}, {}, {}
-        self.early = set()  # set-ups that are out, and over by their box's stream
-        self.ones = {}  # (viewer, title): the viewing's id, where one each is the site's rule
-        self.ids, self.timer, self.lag_timer = 0, None, None
+        self.viewings, self.sessions_by_name, self.pending_setups, self.recent_requests = {}, {}, {}, {}
+        self.ended_early = set()  # keys of pending set-ups that ended, by the box's stream, before their answer
+        self.single_viewings = {}  # {(viewer, title): viewing id}, where only one each is allowed
+        self.last_id, self.wake_timer, self.lag_timer = 0, None, None
         self.loop = self.address = None
         self.counts = dict.fromkeys(
             ("taken", "plays", "blocked", "aborted", "left", "refused", "joined", "turned_away"), 0
@@ -176,161 +204,175 @@
     # Settings
 
     def reload(self):
-        """Reads the settings' file again and goes by it; SiteError names what this manager can't take on.
+        """Reads the settings file again and applies it; SiteError names what this manager can't change while running.
 
-        All or nothing: the new settings are read, checked and made whole before the first of them is used.
+        The new settings are read and checked completely before any of them is applied.
         """
         try:
-            if self.reread is None:
-                raise SiteError("settings", "", "no file that could be read again")
-            site, was = self.reread(), self.sense
+            if self.read_settings is None:
+                raise SiteError("settings", "", "no settings file is available to read again")
+            site, previous = self.read_settings(), self.site_terms
             refuse("settings in service", self.refusals(site))
-            sense = Sense(site, was.me, site.zones.index(was.zone_name), was.seed, was)
-        except SiteError as bad:
-            self.lines.warning("settings refused", detail=str(bad))
-            self.load_counts["refused"] += 1
+            site_terms = Sense(site, previous.me, site.zones.index(previous.zone_name), previous.seed, previous)
+        except SiteError as error:
+            self.logger.warning("settings refused", detail=str(error))
+            self.reload_counts["refused"] += 1
             raise
-        self.sense, self.site, self.mark = sense, site, mark_of(site)
-        self.boxes.rule(sense)
-        self.book.rule(sense.kinds, sense.zones, site.fleet.cells, sense.terms.rules.warm_up_time)
-        if self.watch is None:
-            self.view = FileView(site)
+        self.site_terms, self.site, self.settings_digest = site_terms, site, digest_of(site)
+        self.boxes.apply_settings(site_terms)
+        self.box_list.rule(site_terms.kinds, site_terms.zones, site.fleet.cells, site_terms.terms.rules.warm_up_time)
+        if self.catalogue_watch is None:
+            self.catalogue_view = FileView(site)
         else:
-            self.view.packages = sense.packages
-        self.keys.keep, self.gate.on = round(site.front.keep_answers_ms * 10), site.front.gate
-        self.peaks.rule(site)
-        self.runner.terms_changed(sense.terms)
-        self.load_counts["loaded"] += 1
-        self.audit.renew()
-        self.lines.info("settings loaded", site=site.name, mark=self.mark, viewings=len(self.viewings))
+            self.catalogue_view.packages = site_terms.packages
+        self.key_book.keep, self.gate.on = round(site.front.keep_answers_ms * 10), site.front.gate
+        self.peaks.apply_settings(site)
+        self.runner.terms_changed(site_terms.terms)
+        self.reload_counts["loaded"] += 1
+        self.audit.update_stamp()
+        self.logger.info("settings loaded", site=site.name, mark=self.settings_digest, viewings=len(self.viewings))
 
     def refusals(self, site):
-        names = list(self.sense.rows)
-        in_use = Counter(names[held.request.package] for held in self.runner.sessions.values())
-        found = refusals(
+        """Returns [(key, reason)] for the settings that can't change while this manager runs."""
+        package_names = list(self.site_terms.rows)
+        in_use = Counter(
+            package_names[session_record.request.package] for session_record in self.runner.sessions.values()
+        )
+        reasons = refusals(
             self.site,
             site,
-            self.sense.zone_name,
-            self.sense.me,
+            self.site_terms.zone_name,
+            self.site_terms.me,
             in_use,
-            self.book.rows.values(),
+            self.box_list.rows.values(),
             self.runner.manager.retries.longest_span / 10,
         )
-        if self.watch is not None:  # a catalogue may name packages that no viewing is in yet
-            told = {name for t in self.watch.follower.titles.values() for name in (t.view, t.push) if name}
-            found += [
-                (f"packages.{name}", "the package kept while the catalogue has titles of it")
-                for name in sorted(told - set(site.packages))
+        if self.catalogue_watch is not None:  # the catalogue may refer to packages that no viewing uses yet
+            referenced = {
+                name
+                for title in self.catalogue_watch.follower.titles.values()
+                for name in (title.view, title.push)
+                if name
+            }
+            reasons += [
+                (f"packages.{name}", "the package kept while titles of the catalogue use it")
+                for name in sorted(referenced - set(site.packages))
             ]
-        return found
+        return reasons
 
-    # Life
+    # Start and stop
 
     async def start(self, host, port, member_port=0):
         self.loop = asyncio.get_running_loop()
         self.audit.start()
-        if self.follower:
-            self.follower.start()
-        if self.watch:
-            self.watch.start()
+        if self.list_follower:
+            self.list_follower.start()
+        if self.catalogue_watch:
+            self.catalogue_watch.start()
         self.peaks.start()
         self.address = await self.server.listen(host, port)
         await self.members.start(host, member_port, self.address)
         self.fleet.start()
-        self.lent.start()
+        self.release_replicas.start()
         self.duties.start()
         self.members.recover()
-        self.watch_lag(now())
-        self.keep_house()
+        self.measure_lag(now())
+        self.run_housekeeping()
         return self.address
 
-    def keep_house(self):
+    def run_housekeeping(self):
+        """Removes expired entries every few seconds."""
         self.boxes.pool.sweep()
-        old = now() - AGAIN
-        for seen in [seen for seen, at in self.seen.items() if at < old]:
-            del self.seen[seen]
-        self.ones = {one: id for one, id in self.ones.items() if id in self.viewings}
-        self.keys.clear(now())
-        if self.watch:
-            held = {vw.request.title for vw in self.runner.sessions.values()}
-            self.runner.titles_changed(self.view.forget(now(), held))
-        self.housekeeping = self.loop.call_later(5.0, self.keep_house)
+        expired_before = now() - RETRY_WINDOW
+        for request in [request for request, at in self.recent_requests.items() if at < expired_before]:
+            del self.recent_requests[request]
+        self.single_viewings = {
+            viewer_title: id for viewer_title, id in self.single_viewings.items() if id in self.viewings
+        }
+        self.key_book.clear(now())
+        if self.catalogue_watch:
+            held_titles = {session_record.request.title for session_record in self.runner.sessions.values()}
+            self.runner.titles_changed(self.catalogue_view.forget(now(), held_titles))
+        self.housekeeping = self.loop.call_later(5.0, self.run_housekeeping)
 
     async def stop(self, grace=3.0):
-        """No new viewing; what is in work gets its answer; what plays is handed to other managers, or ended.
+        """Accepts no new viewings, answers the pending ones, and hands playing ones to other managers or ends them.
 
-        Where other managers live, whoever asks meanwhile is sent on to one of them, and what plays stays as it is:
-        they claim it as soon as they hear that this manager has left.
+        While other managers are alive, new requests are redirected to one of them and playing sessions are left
+        unchanged: the other managers claim them as soon as they learn that this manager has left.
         """
         await self.duties.stop()
         self.fleet.stop()
-        self.tries.stop()
-        self.lent.stop()
+        self.retries.stop()
+        self.release_replicas.stop()
         hand_over = len(self.members.alive()) > 1
         if not hand_over:
             self.server.stop_listening()
         self.server.stopping = True
         until = self.loop.time() + grace
-        while any(not vw.plays for vw in self.viewings.values()) and self.loop.time() < until:
+        while any(not viewing.plays for viewing in self.viewings.values()) and self.loop.time() < until:
             await asyncio.sleep(0.01)
         if hand_over:
             self.members.leave()
-            lingers = self.loop.time() + LINGER_S
+            linger_until = self.loop.time() + REDIRECT_LINGER_S
             while self.loop.time() < until and (
-                self.loop.time() < lingers or any(vw.plays for vw in self.viewings.values())
+                self.loop.time() < linger_until or any(viewing.plays for viewing in self.viewings.values())
             ):
-                await asyncio.sleep(0.01)  # each goes as its box says that it is another's
+                # a viewing is removed when its box reports that another manager has claimed it
+                await asyncio.sleep(0.01)
             self.server.stop_listening()
-            # Who was let in at the last moment has its first request on the way, and is sent on too.
-            fresh = self.loop.time() + FRESH_S
-            while any(line.fresh for line in self.server.lines) and self.loop.time() < fresh:
+            # A connection accepted just before may still send its first request, which is redirected too.
+            fresh_until = self.loop.time() + FIRST_REQUEST_GRACE_S
+            while any(connection.fresh for connection in self.server.lines) and self.loop.time() < fresh_until:
                 await asyncio.sleep(0.01)
-            self.lines.info("handed over", left=len(self.viewings))
+            self.logger.info("handed over", left=len(self.viewings))
         for id in list(self.viewings):
             self.runner.client_left(id)
-        while self.boxes.owed.count() and self.loop.time() < until:
+        while self.boxes.pending_releases.count() and self.loop.time() < until:
             await asyncio.sleep(0.01)
-        if self.follower:
-            self.follower.stop()
-        if self.watch:
-            await self.watch.stop()
+        if self.list_follower:
+            self.list_follower.stop()
+        if self.catalogue_watch:
+            await self.catalogue_watch.stop()
         await self.peaks.stop()
         await self.members.stop()
         self.journal.stop()
         self.audit.stop()
-        for timer in (self.housekeeping, self.timer, self.lag_timer):
+        for timer in (self.housekeeping, self.wake_timer, self.lag_timer):
             if timer is not None:
                 timer.cancel()
         await self.server.stop()
         await self.boxes.close()
 
-    # From clients
+    # Client requests
 
     def handle(self, exchange):
+        """Dispatches a client request and answers it on refusal or error."""
         try:
             segments, args = endpoint.split(exchange.request.target)
             if segments[0] not in ("whep", "whip", "session"):
-                self.other(exchange, segments)
+                self.handle_other(exchange, segments)
                 return
             if exchange.request.method == "POST" and segments[0] != "session" and len(segments) == 2:
-                self.admit(exchange, segments[1], args)
-            want = endpoint.read(exchange.request, segments, args, self.site.front.tokens)
-            if isinstance(want, endpoint.Offer):
-                self.offered(exchange, want)
-            elif isinstance(want, endpoint.Options):
-                exchange.respond(204, endpoint.options_headers(want))
-            elif isinstance(want, endpoint.Delete):
-                self.delete(exchange, want)
+                self.check_admission(exchange, segments[1], args)
+            wanted = endpoint.read(exchange.request, segments, args, self.site.front.tokens)
+            if isinstance(wanted, endpoint.Offer):
+                self.accept_offer(exchange, wanted)
+            elif isinstance(wanted, endpoint.Options):
+                exchange.respond(204, endpoint.options_headers(wanted))
+            elif isinstance(wanted, endpoint.Delete):
+                self.delete(exchange, wanted)
             else:
-                self.patch(exchange, want)
-        except Refusal as no:
+                self.patch(exchange, wanted)
+        except Refusal as refusal:
             self.counts["refused"] += 1
-            exchange.respond(*no.answer())
-        except Exception as fault:  # one request's fault is that request's alone
-            self.lines.error("fault", error=f"{type(fault).__name__}: {fault}", target=exchange.request.target[:100])
+            exchange.respond(*refusal.answer())
+        except Exception as error:  # an error in one request must not affect others
+            self.logger.error("fault", error=f"{type(error).__name__}: {error}", target=exchange.request.target[:100])
             exchange.refuse(500, "An error of ours")
 
-    def other(self, exchange, segments):
+    def handle_other(self, exchange, segments):
+        """Dispatches requests of operators and of other managers."""
         if segments == ["state"] and exchange.request.method == "GET":
             endpoint.check_token(exchange.request.headers, self.site.front.tokens)
             exchange.respond(200, [("Content-Type", "application/json")], self.state())
@@ -345,295 +387,334 @@
             self.check_operator(exchange, "only SIGHUP loads them")
             try:
                 self.reload()
-            except SiteError as bad:
-                raise Refusal(422, str(bad), key=bad.key) from None
+            except SiteError as error:
+                raise Refusal(422, str(error), key=error.key) from None
             exchange.respond(200, [("Content-Type", "application/json")], json.dumps(self.settings()).encode())
             return
         raise Refusal(404, "the path is /whep/TITLE, /whip/TITLE or /session/NAME")
 
     def drain(self, exchange):
-        """An operators' order to leave service, for us or for another: members.orders has what comes of it."""
+        """Handles an operator's order to drain this manager or another one; members.orders decides on the reply."""
         self.check_operator(exchange, "only SIGTERM drains it")
-        if exchange.request.method == "GET":  # whom an order may name
-            lives = {name: self.members.member(name).boot for name in self.members.alive() if name != self.name}
+        if exchange.request.method == "GET":  # lists the managers and boot ids that an order may name
+            boots = {name: self.members.member(name).boot for name in self.members.alive() if name != self.name}
             exchange.respond(
                 200,
                 [("Content-Type", "application/json")],
-                json.dumps({"manager": self.name, "lives": {self.name: self.boot, **lives}}).encode(),
+                json.dumps({"manager": self.name, "lives": {self.name: self.boot, **boots}}).encode(),
             )
             return
         args = dict(parse_qsl(exchange.request.target.partition("?")[2]))
-        named = args.get("manager", "")
-        to_do = orders.drain(
-            named, args.get("life", ""), self.name, self.boot, self.server.stopping, self.members.member(named)
+        manager_name = args.get("manager", "")
+        step = orders.drain(
+            manager_name,
+            args.get("life", ""),
+            self.name,
+            self.boot,
+            self.server.stopping,
+            self.members.member(manager_name),
         )
-        told = {"manager": named or self.name, "viewings": len(self.viewings), "others": len(self.members.alive()) - 1}
-        match to_do:
-            case orders.Leave(again):
-                if self.leave is None:
-                    raise Refusal(409, "this manager's program does not end by a call")
-                exchange.respond(202, [("Content-Type", "application/json")], json.dumps(told).encode())
-                if not again:
-                    self.lines.info("drain asked for", viewings=len(self.viewings))
-                    self.leave()
+        report = {
+            "manager": manager_name or self.name,
+            "viewings": len(self.viewings),
+            "others": len(self.members.alive()) - 1,
+        }
+        match step:
+            case orders.Leave(already_stopping):
+                if self.begin_stop is None:
+                    raise Refusal(409, "this process can't be stopped by a request")
+                exchange.respond(202, [("Content-Type", "application/json")], json.dumps(report).encode())
+                if not already_stopping:
+                    self.logger.info("drain asked for", viewings=len(self.viewings))
+                    self.begin_stop()
             case orders.SendOn(serves):
                 raise Refusal(
-                    307, f"{named} is asked itself", [("Location", f"http://{serves}{exchange.request.target}")]
+                    307,
+                    f"{manager_name} handles this request",
+                    [("Location", f"http://{serves}{exchange.request.target}")],
                 )
-            case orders.Over(why):
+            case orders.Over(reason):
                 exchange.respond(
-                    200, [("Content-Type", "application/json")], json.dumps({"manager": named, "over": why}).encode()
+                    200,
+                    [("Content-Type", "application/json")],
+                    json.dumps({"manager": manager_name, "over": reason}).encode(),
                 )
             case orders.Unknown():
-                raise Refusal(404, f"no manager {named[:60]!r} is known here")
+                raise Refusal(404, f"no manager {manager_name[:60]!r} is known here")
 
-    def check_operator(self, exchange, else_only):
+    def check_operator(self, exchange, alternative):
+        """Refuses a request without the operators' token."""
         if self.site.front.fleet_token is None:
-            raise Refusal(403, f"without a fleet_token in the settings {else_only}")
+            raise Refusal(403, f"without a fleet_token in the settings {alternative}")
         endpoint.check_token(exchange.request.headers, [self.site.front.fleet_token])
 
-    def entry(self, title, sends):
-        """(what the front needs of a title, the package of who watches or pushes it), or None each."""
-        row = self.view.look(title, now())
-        return row, row and (row.push if sends else row.view)
+    def title_entry(self, title, sends):
+        """Returns (catalogue entry, package name) for watching or pushing a title; each is None if there is none."""
+        entry = self.catalogue_view.look(title, now())
+        return entry, entry and (entry.push if sends else entry.view)
 
-    def admit(self, exchange, title, args):
-        """Refuses at once, before the offer is read, what could not be answered in time or comes too often."""
+    def check_admission(self, exchange, title, args):
+        """Refuses a request before its offer is read if it can't be answered in time or repeats too soon."""
         headers = exchange.request.headers
-        _, package = self.entry(title, exchange.request.target.startswith("/whip/"))
+        _, package = self.title_entry(title, exchange.request.target.startswith("/whip/"))
         if package is None:
             return
         stated = args.get("viewer") or headers.get("flaxscale-viewer")
-        time, client = now(), stated or self.address_of(exchange)
-        left = (
-            self.sense.patience(self.sense.packages[package], fields.wait_of(headers.get("prefer")))
-            - (time - exchange.arrived)
-            - self.still.older(exchange.arrived)
+        time_now, client = now(), stated or self.client_address(exchange)
+        remaining = (
+            self.site_terms.patience(self.site_terms.packages[package], fields.wait_of(headers.get("prefer")))
+            - (time_now - exchange.arrived)
+            - self.stall_detector.older(exchange.arrived)
+        )
+        is_retry = (
+            time_now - self.recent_requests.get((self.viewer_id(stated, exchange), title), -RETRY_WINDOW) < RETRY_WINDOW
         )
-        again = time - self.seen.get((self.viewer_id(stated, exchange), title), -AGAIN) < AGAIN
-        worth = self.site.packages[package].value
-        if no := self.gate.ask(time, client, left, again, title, worth):
+        value = self.site.packages[package].value
+        if refusal := self.gate.ask(time_now, client, remaining, is_retry, title, value):
             self.counts["turned_away"] += 1
             raise Refusal(
                 503,
-                "this manager is behind" if no.why in ("behind", "late") else "too many tries",
-                [("Retry-After", str(max(1, fields.seconds_up(no.hold_off))))],
+                "this manager is overloaded" if refusal.why in ("behind", "late") else "too many requests",
+                [("Retry-After", str(max(1, fields.seconds_up(refusal.hold_off))))],
                 fate="blocked",
-                hold_off_ms=no.hold_off / 10,
-                why=no.why,
+                hold_off_ms=refusal.hold_off / 10,
+                why=refusal.why,
             )
 
-    def address_of(self, exchange):
+    def client_address(self, exchange):
+        """Returns the client's address and user agent."""
         peer = exchange.line.transport.get_extra_info("peername") or ("",)
         return f"{peer[0]}:{exchange.request.headers.get('user-agent', '')}"
 
-    def watch_lag(self, due):
-        """A timer of our own, only to see how late it rings."""
-        self.still.rings(now())
+    def measure_lag(self, due):
+        """Measures how late a periodic timer fires and passes the lag to the admission gate."""
+        self.stall_detector.rings(now())
         self.gate.lagged(now(), max(0, now() - due))
-        self.lag_timer = self.loop.call_later(LAG_S, self.watch_lag, now() + round(LAG_S * 10_000))
+        self.lag_timer = self.loop.call_later(
+            LAG_PROBE_INTERVAL_S, self.measure_lag, now() + round(LAG_PROBE_INTERVAL_S * 10_000)
+        )
 
-    def offered(self, exchange, offer):
-        row, package = self.entry(offer.title, offer.sends)
+    def accept_offer(self, exchange, offer):
+        """Starts a viewing for an offer, unless it is a retry or must be refused."""
+        entry, package = self.title_entry(offer.title, offer.sends)
         if package is None:
             raise Refusal(404, f"no title {offer.title[:60]!r} to {'push' if offer.sends else 'watch'}")
         if self.server.stopping:
-            if at := self.members.another(offer.viewer or offer.ufrag):
+            if alternative := self.members.alternative_for(offer.viewer or offer.ufrag):
                 raise Refusal(
-                    307, "this manager is leaving service", [("Location", f"http://{at}{exchange.request.target}")]
+                    307,
+                    "this manager is leaving service",
+                    [("Location", f"http://{alternative}{exchange.request.target}")],
                 )
             raise Refusal(503, "this manager is leaving service", [("Retry-After", "1")])
-        self.fleet.turn_away(exchange, offer.viewer or offer.ufrag)
+        self.fleet.redirect_if_out_of_service(exchange, offer.viewer or offer.ufrag)
         if len(self.viewings) >= self.site.front.held_most:
-            raise Refusal(503, "this manager holds as many viewings as it may", [("Retry-After", "1")])
+            raise Refusal(503, "this manager holds its maximum number of viewings", [("Retry-After", "1")])
         viewer = self.viewer_id(offer.viewer, exchange)
-        if offer.key is not None and self.meets(exchange, offer, viewer):
+        if offer.key is not None and self.join_by_key(exchange, offer, viewer):
             return
-        number = self.sense.packages[package]
-        self.ids += 1
-        vw = self.viewings[self.ids] = Viewing(self.ids, offer, exchange, self.name)
-        self.names[vw.name] = vw
-        exchange.gone = lambda: self.asker_gone(vw, exchange)
+        package_number = self.site_terms.packages[package]
+        self.last_id += 1
+        viewing = self.viewings[self.last_id] = Viewing(self.last_id, offer, exchange, self.name)
+        self.sessions_by_name[viewing.name] = viewing
+        exchange.gone = lambda: self.client_gone(viewing, exchange)
         if offer.key is not None:
-            self.keys.begin((viewer, offer.title, offer.key), xxhash.xxh3_64_intdigest(offer.body), vw.id)
-        time = now()
-        again = time - self.seen.get((viewer, offer.title), -AGAIN) < AGAIN
-        self.seen[viewer, offer.title] = time
+            self.key_book.begin((viewer, offer.title, offer.key), xxhash.xxh3_64_intdigest(offer.body), viewing.id)
+        time_now = now()
+        is_retry = time_now - self.recent_requests.get((viewer, offer.title), -RETRY_WINDOW) < RETRY_WINDOW
+        self.recent_requests[viewer, offer.title] = time_now
         self.counts["taken"] += 1
-        vw.asked_at = exchange.arrived
+        viewing.requested_at = exchange.arrived
         patience = (
-            self.sense.patience(number, offer.wait) - (time - exchange.arrived) - self.still.older(exchange.arrived)
+            self.site_terms.patience(package_number, offer.wait)
+            - (time_now - exchange.arrived)
+            - self.stall_detector.older(exchange.arrived)
+        )
+        highest_rung = len(self.site.ladder.kb) - 1
+        viewing.cookie = encode_cookie(
+            viewing.name, offer, viewer, highest_rung if offer.top is None else min(offer.top, highest_rung)
         )
-        rungs = len(self.site.ladder.kb) - 1
-        vw.cookie = cookie_out(vw.name, offer, viewer, rungs if offer.top is None else min(offer.top, rungs))
-        if news := self.view.news(offer.title):
-            self.runner.titles_changed([news])
-        self.peaks.asked(offer.title, package)
-        due = time + patience
-        self.steps.at("taken")
-
-        def ask(age):
-            """age: of its first try at another manager, whose patience goes on; one that is over begins anew."""
-            left = due - now()
-            left = left - age if age < left else left
+        if event := self.catalogue_view.news(offer.title):
+            self.runner.titles_changed([event])
+        self.peaks.count_request(offer.title, package)
+        deadline = time_now + patience
+        self.failpoints.reach("taken")
+
+        def proceed(age):
+            """Asks the decision module for a placement.
+
+            age: time since the earlier attempt at another manager, which counts against the patience; an attempt
+            older than the patience is ignored and the viewing gets its full time.
+            """
+            remaining = deadline - now()
+            remaining = remaining - age if age < remaining else remaining
             self.runner.session_requested(
                 interface.SessionRequest(
-                    vw.id,
-                    number,
-                    row.title,
+                    viewing.id,
+                    package_number,
+                    entry.title,
                     viewer,
-                    max(0, left),
-                    rungs if offer.top is None else min(offer.top, rungs),
-                    row.first_cell,
-                    row.cells,
+                    max(0, remaining),
+                    highest_rung if offer.top is None else min(offer.top, highest_rung),
+                    entry.first_cell,
+                    entry.cells,
                     round(offer.length * 10_000) if offer.length else 0,
                     False,
-                    again,
+                    is_retry,
                 )
             )
 
-        one = offer.key is None and self.one_each(offer)
-        if one and not self.in_place(vw, (viewer, offer.title)):
+        is_single = offer.key is None and self.is_single_viewing(offer)
+        if is_single and not self.replace_earlier(viewing, (viewer, offer.title)):
             return
-        if offer.key is None and not one or self.members.shell is None:
-            ask(0)
+        if offer.key is None and not is_single or self.members.shell is None:
+            proceed(0)
         else:
-            self.tries.first(vw, viewer, due, ask)
+            self.retries.start(viewing, viewer, deadline, proceed)
 
-    def one_each(self, offer):
-        """Whether this viewer may have one viewing of the title: the site says so, and the viewer who it is."""
+    def is_single_viewing(self, offer):
+        """Tells whether the viewer may have only one viewing of the title: set by the site, for identified viewers."""
         return self.site.front.one_per_viewer and offer.viewer is not None
 
-    def in_place(self, vw, one):
-        """An earlier one of the same viewer and title here makes room. False: it stays, and the new one is answered."""
-        old = self.viewings.get(self.ones.get(one))
-        self.ones[one] = vw.id
-        if old is None:
+    def replace_earlier(self, viewing, viewer_title):
+        """Ends the earlier viewing of the same viewer and title; False if it stays and the new request was refused."""
+        earlier = self.viewings.get(self.single_viewings.get(viewer_title))
+        self.single_viewings[viewer_title] = viewing.id
+        if earlier is None:
             return True
-        if self.tries.unsafe(old) and (old.plays or old.call is not None):
-            self.ones[one] = old.id
-            self.answer_early(vw, Refusal(409, "this viewer pushes this title already", [("Retry-After", "1")]))
+        if self.retries.is_unsafe(earlier) and (earlier.plays or earlier.setup_call is not None):
+            self.single_viewings[viewer_title] = earlier.id
+            self.refuse_unplaced(viewing, Refusal(409, "this viewer pushes this title already", [("Retry-After", "1")]))
             return False
-        self.lines.info("in place of its first try", viewing=vw.id, of=old.key, age=now() - old.taken_at)
-        askers, old.askers = old.askers, []
-        if not self.tries.left(old):
-            self.runner.client_left(old.id)
-        for exchange in askers:
-            exchange.respond(*Refusal(409, "the same viewer has asked anew").answer())
+        self.logger.info(
+            "earlier viewing replaced", viewing=viewing.id, of=earlier.key, age=now() - earlier.accepted_at
+        )
+        exchanges, earlier.exchanges = earlier.exchanges, []
+        if not self.retries.cancel(earlier):
+            self.runner.client_left(earlier.id)
+        for exchange in exchanges:
+            exchange.respond(*Refusal(409, "replaced by a newer request of the same viewer").answer())
         return True
 
     def viewer_id(self, stated, exchange):
-        """A viewer id that stays: the stated one, else one of the address and the player's own name."""
-        said = "v:" + stated if stated else "a:" + self.address_of(exchange)
-        return xxhash.xxh3_64_intdigest(said.encode())
+        """Returns a stable viewer id: from the stated one, else from the client's address and user agent."""
+        identity = "v:" + stated if stated else "a:" + self.client_address(exchange)
+        return xxhash.xxh3_64_intdigest(identity.encode())
 
-    def meets(self, exchange, offer, viewer):
-        """A retry under the same key joins its first try, or gets the answer kept for it."""
+    def join_by_key(self, exchange, offer, viewer):
+        """Joins a retry to the viewing of the same key or sends the stored answer; False if there is neither."""
         key = viewer, offer.title, offer.key
-        met = self.keys.meet(key, xxhash.xxh3_64_intdigest(offer.body), now())
-        if isinstance(met, Clash):
-            raise Refusal(422, "this Idempotency-Key came with another offer before")
-        if isinstance(met, Joined) and (vw := self.viewings.get(met.id)):
+        known = self.key_book.meet(key, xxhash.xxh3_64_intdigest(offer.body), now())
+        if isinstance(known, Clash):
+            raise Refusal(422, "this Idempotency-Key was used with another offer before")
+        if isinstance(known, Joined) and (viewing := self.viewings.get(known.id)):
             self.counts["joined"] += 1
-            vw.askers.append(exchange)
-            exchange.gone = lambda: self.asker_gone(vw, exchange)
+            viewing.exchanges.append(exchange)
+            exchange.gone = lambda: self.client_gone(viewing, exchange)
             return True
-        if isinstance(met, Kept) and met.id in self.viewings:
+        if isinstance(known, Kept) and known.id in self.viewings:
             self.counts["joined"] += 1
-            exchange.respond(*met.answer)
+            exchange.respond(*known.answer)
             return True
         return False
 
-    def asker_gone(self, vw, exchange):
-        if exchange in vw.askers:
-            vw.askers.remove(exchange)
-        if not vw.askers and not vw.plays and not self.tries.left(vw):
-            self.runner.client_left(vw.id)
+    def client_gone(self, viewing, exchange):
+        """Ends a pending viewing when the last client request that waits for it is gone."""
+        if exchange in viewing.exchanges:
+            viewing.exchanges.remove(exchange)
+        if not viewing.exchanges and not viewing.plays and not self.retries.cancel(viewing):
+            self.runner.client_left(viewing.id)
 
-    def answer_early(self, vw, no):
-        """Answers a viewing that the module was not asked for."""
+    def refuse_unplaced(self, viewing, refusal):
+        """Refuses a viewing for which the decision module was not asked."""
         self.counts["refused"] += 1
-        askers, vw.askers = vw.askers, []
-        self.dismiss(vw)
-        for exchange in askers:
-            exchange.respond(*no.answer())
-
-    def joined(self, vw, held, stood):
-        """A viewing taken over from its first try answers who asks for it again."""
-        at = self.keys.by_id.get(vw.id)
-        askers, held.offer, held.mark = vw.askers, vw.offer, vw.mark
-        vw.askers = []
-        self.dismiss(vw)
+        exchanges, viewing.exchanges = viewing.exchanges, []
+        self.drop_viewing(viewing)
+        for exchange in exchanges:
+            exchange.respond(*refusal.answer())
+
+    def answer_joined(self, viewing, taken_over, session):
+        """Answers a retry with the session of its earlier attempt, which this manager has taken over."""
+        client_key = self.key_book.by_id.get(viewing.id)
+        exchanges, taken_over.offer, taken_over.key_digest = viewing.exchanges, viewing.offer, viewing.key_digest
+        viewing.exchanges = []
+        self.drop_viewing(viewing)
         reply = (
             201,
             [
                 ("Content-Type", endpoint.SDP),
-                ("Location", f"/session/{held.name}"),
-                ("Etag", stood.etag),
+                ("Location", f"/session/{taken_over.name}"),
+                ("Etag", session.etag),
                 ("Accept-Patch", endpoint.FRAGMENT),
                 *endpoint.CORS,
             ],
-            stood.body.encode(),
+            session.body.encode(),
         )
-        if at is not None:
-            self.keys.begin(at, xxhash.xxh3_64_intdigest(held.offer.body), held.id)
-            self.keys.answered(held.id, reply, now())
+        if client_key is not None:
+            self.key_book.begin(client_key, xxhash.xxh3_64_intdigest(taken_over.offer.body), taken_over.id)
+            self.key_book.answered(taken_over.id, reply, now())
         self.counts["joined"] += 1
-        self.lines.info("joined its first try", viewing=held.id, box=held.box, key=held.key, trace=held.offer.trace)
-        for exchange in askers:
+        self.logger.info(
+            "joined its first try",
+            viewing=taken_over.id,
+            box=taken_over.box,
+            key=taken_over.key,
+            trace=taken_over.offer.trace,
+        )
+        for exchange in exchanges:
             exchange.respond(*reply)
 
-    def session(self, exchange, want):
-        """The viewing of this name that plays here; whoever else may have it is named."""
-        vw = self.names.get(want.name)
-        if vw is not None and vw.plays:
-            return vw
+    def find_session(self, exchange, wanted):
+        """Returns the playing viewing of this name; otherwise refuses, or redirects to the manager that may hold it."""
+        viewing = self.sessions_by_name.get(wanted.name)
+        if viewing is not None and viewing.plays:
+            return viewing
         path, _, query = exchange.request.target.partition("?")
         asked = query.removeprefix("asked=").split(".") if query.startswith("asked=") else []
-        if at := self.members.present(want.name, asked):
+        if address := self.members.locate(wanted.name, asked):
             raise Refusal(
                 307,
                 "another manager has this session",
-                [("Location", f"http://{at}{path}?asked={'.'.join([*asked, self.name])}")],
+                [("Location", f"http://{address}{path}?asked={'.'.join([*asked, self.name])}")],
             )
         if self.members.jobs:
-            raise Refusal(503, "sessions are just being taken over", [("Retry-After", "1")])
+            raise Refusal(503, "sessions are being taken over, retry", [("Retry-After", "1")])
         raise Refusal(404, "no such session plays here")
 
-    def delete(self, exchange, want):
-        vw = self.session(exchange, want)
-        self.lines.info("ended by its client", viewing=vw.id)
-        self.runner.client_left(vw.id)
+    def delete(self, exchange, wanted):
+        viewing = self.find_session(exchange, wanted)
+        self.logger.info("ended by its client", viewing=viewing.id)
+        self.runner.client_left(viewing.id)
         exchange.respond(200, endpoint.CORS)
 
-    def patch(self, exchange, want):
-        """Passed on to the box that holds the session; its answer is the answer."""
-        vw = self.session(exchange, want)
+    def patch(self, exchange, wanted):
+        """Forwards a PATCH to the box of the session and returns the box's answer."""
+        viewing = self.find_session(exchange, wanted)
 
-        def came(result):
+        def on_answer(result):
             if not hasattr(result, "status"):
                 if result.late:
                     exchange.refuse(504, "No video server answered in time")
                     return
                 exchange.refuse(502, "The video server failed", result.detail)
                 return
-            keep = [
+            headers = [
                 (name.title(), result.headers[name])
                 for name in ("etag", "content-type", "accept-patch")
                 if name in result.headers
             ]
-            exchange.respond(result.status, [*keep, *endpoint.CORS], result.body)
+            exchange.respond(result.status, [*headers, *endpoint.CORS], result.body)
 
-        host, port = vw.place
+        host, port = viewing.box_address
         call = self.boxes.pool.send(
             host,
             port,
             "PATCH",
-            vw.path,
-            [("Content-Type", endpoint.FRAGMENT), ("If-Match", want.match), *self.boxes.who],
-            want.body,
-            came,
-            PATCH_S,
+            viewing.session_path,
+            [("Content-Type", endpoint.FRAGMENT), ("If-Match", wanted.match), *self.boxes.identity_headers],
+            wanted.body,
+            on_answer,
+            PATCH_TIMEOUT_S,
         )
         exchange.gone = call.cancel
 
@@ -643,299 +724,340 @@
         return now()
 
     def wake_at(self, at):
-        if self.timer is not None:
-            self.timer.cancel()
-        self.timer = self.loop.call_later(max(0, at - now()) / 10_000, self.ring)
+        if self.wake_timer is not None:
+            self.wake_timer.cancel()
+        self.wake_timer = self.loop.call_later(max(0, at - now()) / 10_000, self.on_timer)
 
-    def ring(self):
-        self.timer = None
+    def on_timer(self):
+        self.wake_timer = None
         self.runner.tick()
 
     def start_attempt(self, id, nth, server, rung, left):
-        vw = self.viewings[id]
-        vw.key, vw.box, vw.tries, vw.began = f"{self.name}.{self.boot}.{id:x}.{nth}", server, nth + 1, now()
-        self.by_key[vw.key] = id
-        self.audit.did("setup", vw.key, server)
+        viewing = self.viewings[id]
+        viewing.key, viewing.box, viewing.attempts, viewing.setup_sent_at = (
+            f"{self.name}.{self.boot}.{id:x}.{nth}",
+            server,
+            nth + 1,
+            now(),
+        )
+        self.pending_setups[viewing.key] = id
+        self.audit.record("setup", viewing.key, server)
         if nth == 0:
-            vw.slot_wait = max(0, self.runner.step_due_at - vw.taken_at)
-        offer, key, place = vw.offer, vw.key, self.boxes.places.get(server)
-        if not self.tries.may_go(vw, place):
-            self.never_sent(id, nth, key, Outcome.LACKING)
+            viewing.slot_wait = max(0, self.runner.step_due_at - viewing.accepted_at)
+        offer, key, box_place = viewing.offer, viewing.key, self.boxes.places.get(server)
+        if not self.retries.may_set_up(viewing, box_place):
+            self.report_unsent(id, nth, key, Outcome.LACKING)
             return
         headers = [
             ("Content-Type", endpoint.SDP),
             ("Idempotency-Key", f'"{key}"'),
             ("Flaxscale-Rung", str(rung)),
             ("Flaxscale-Patience", str(left // 10)),
-            ("Flaxscale-Cookie", vw.cookie),
-            *self.tries.fields(vw, place),
+            ("Flaxscale-Cookie", viewing.cookie),
+            *self.retries.setup_headers(viewing, box_place),
         ]
         if offer.trace:
             headers.append(("traceparent", offer.trace))
         title = offer.title if offer.title.isalnum() else quote(offer.title, safe="")
-        vw.call = self.boxes.set_up(
+        viewing.setup_call = self.boxes.set_up(
             server,
             f"/{'whip' if offer.sends else 'whep'}/{title}",
             key,
             headers,
             offer.body,
-            lambda *what: self.came(vw, nth, server, place, key, *what),
+            lambda *result: self.setup_answered(viewing, nth, server, box_place, key, *result),
         )
-        if vw.call is None:  # the list has just dropped it
-            self.never_sent(id, nth, key, Outcome.UNREACHED)
-        self.steps.at("sent")
-
-    def never_sent(self, id, nth, key, how):
-        self.not_out(key)
-        self.loop.call_soon(self.runner.attempt_ended, id, nth, how, 0)
-
-    def came(self, vw, nth, server, place, key, how, took, answer, notes):
-        """The outcome of a set-up."""
-        vw.call = None
-        if how is not None:
-            if how in (Outcome.RESET, Outcome.ERROR):
-                self.boxes.end(server, key)  # it may have run: whatever stands there is ended
-            self.not_out(key)
-            self.lines.info("tune-in failed", viewing=vw.id, nth=nth, box=server, how=how.value, took=took)
-            if vw.done:
-                self.dismiss(vw)
-            self.runner.attempt_ended(vw.id, nth, how, took)
+        if viewing.setup_call is None:  # removed from the box list in the meantime
+            self.report_unsent(id, nth, key, Outcome.UNREACHED)
+        self.failpoints.reach("sent")
+
+    def report_unsent(self, id, nth, key, outcome):
+        """Reports a set-up that was not sent, after the current event."""
+        self.clear_pending(key)
+        self.loop.call_soon(self.runner.attempt_ended, id, nth, outcome, 0)
+
+    def setup_answered(self, viewing, nth, server, place, key, outcome, duration, answer, notes):
+        """Handles the outcome of a set-up."""
+        viewing.setup_call = None
+        if outcome is not None:
+            if outcome in (Outcome.RESET, Outcome.ERROR):
+                self.boxes.end(server, key)  # the set-up may have run: end any session under this key
+            self.clear_pending(key)
+            self.logger.info(
+                "tune-in failed", viewing=viewing.id, nth=nth, box=server, how=outcome.value, took=duration
+            )
+            if viewing.closed:
+                self.drop_viewing(viewing)
+            self.runner.attempt_ended(viewing.id, nth, outcome, duration)
             return
-        self.steps.at("begun")
-        if key in self.early:  # over, or another's, before its own answer was read
-            self.not_out(key)
-            if vw.done:
-                self.dismiss(vw)
-            self.runner.attempt_ended(vw.id, nth, Outcome.RESET, took)
+        self.failpoints.reach("begun")
+        # the box's stream reported the end, or the claim by another manager, before this answer was read
+        if key in self.ended_early:
+            self.clear_pending(key)
+            if viewing.closed:
+                self.drop_viewing(viewing)
+            self.runner.attempt_ended(viewing.id, nth, Outcome.RESET, duration)
             return
-        vw.came, vw.path, vw.place = answer, answer.headers["location"], place[:2]
-        self.boxes.plays(server, key, vw.id, answer.headers.get("flaxscale-boot"))
-        if not self.runner.attempt_succeeded(vw.id, nth, took, notes):
+        viewing.box_answer, viewing.session_path, viewing.box_address = answer, answer.headers["location"], place[:2]
+        self.boxes.session_started(server, key, viewing.id, answer.headers.get("flaxscale-boot"))
+        if not self.runner.attempt_succeeded(viewing.id, nth, duration, notes):
             self.boxes.end(server, key)
-            self.dismiss(vw)
+            self.drop_viewing(viewing)
 
     def abandon_attempt(self, id, nth, server):
-        vw = self.viewings[id]
-        call, vw.call = vw.call, None
+        viewing = self.viewings[id]
+        call, viewing.setup_call = viewing.setup_call, None
         sent = call.cancel() if call is not None else False
         if sent:
-            self.boxes.end(server, vw.key)
-        self.not_out(vw.key)
-        if vw.done:
-            self.dismiss(vw)
-        self.lines.info("tune-in given up", viewing=id, nth=nth, box=server, sent=sent)
+            self.boxes.end(server, viewing.key)
+        self.clear_pending(viewing.key)
+        if viewing.closed:
+            self.drop_viewing(viewing)
+        self.logger.info("tune-in given up", viewing=id, nth=nth, box=server, sent=sent)
         return sent
 
     def end_session(self, id, nth, server):
-        vw = self.viewings[id]
-        self.boxes.end(server, vw.key)
-        self.dismiss(vw)
+        viewing = self.viewings[id]
+        self.boxes.end(server, viewing.key)
+        self.drop_viewing(viewing)
 
     def set_rung(self, id, nth, server, rung):
         self.boxes.set_rung(server, self.viewings[id].key, rung)
 
     def answer(self, id, answer):
-        vw = self.viewings[id]
+        viewing = self.viewings[id]
         self.counts[answer.kind.value] += 1
-        self.audit.did("answer" if answer.kind is AnswerKind.PLAYS else "refusal", vw.name)
+        self.audit.record("answer" if answer.kind is AnswerKind.PLAYS else "refusal", viewing.name)
         if answer.kind is AnswerKind.PLAYS:
-            vw.plays = True
-            reply = self.played(vw)
-            self.keys.answered(id, reply, now())
+            viewing.plays = True
+            reply = self.playing_answer(viewing)
+            self.key_book.answered(id, reply, now())
         else:
-            self.keys.answered(id, None, now())
-            reply = self.turned_away(answer) if answer.kind is not AnswerKind.LEFT else None
-            vw.done = True
-            if vw.call is None:  # else it is kept until its tune-in is called off or comes back
-                self.dismiss(vw)
-        self.lines.info(
+            self.key_book.answered(id, None, now())
+            reply = self.refusal_answer(answer) if answer.kind is not AnswerKind.LEFT else None
+            viewing.closed = True
+            if viewing.setup_call is None:  # otherwise kept until the pending set-up is cancelled or answered
+                self.drop_viewing(viewing)
+        self.logger.info(
             "answered",
             viewing=id,
             fate=answer.kind.value,
             box=answer.server,
             rung=answer.rung,
-            tries=vw.tries,
-            after=now() - vw.asked_at,
-            slot_wait=vw.slot_wait,
+            tries=viewing.attempts,
+            after=now() - viewing.requested_at,
+            slot_wait=viewing.slot_wait,
             overdue=answer.overdue,
-            trace=vw.offer.trace,
+            trace=viewing.offer.trace,
         )
-        if vw.offer is not None and answer.kind is not AnswerKind.LEFT:
-            self.gate.answered(now() - vw.taken_at)
-        askers, vw.askers = vw.askers, []
+        if viewing.offer is not None and answer.kind is not AnswerKind.LEFT:
+            self.gate.answered(now() - viewing.accepted_at)
+        exchanges, viewing.exchanges = viewing.exchanges, []
 
-        def say(more=()):
-            for exchange in askers:
+        def respond(extra_headers=()):
+            for exchange in exchanges:
                 if reply is not None:
                     status, headers, body = reply
-                    exchange.respond(status, [*headers, *more], body)
-            self.steps.at("answered")
-
-        if not (vw.plays and self.journal.put_down(vw, reply, say)):
-            say()
-
-    def played(self, vw):
-        came = vw.came
-        rows = [("Content-Type", endpoint.SDP), ("Location", f"/session/{vw.name}")]
-        rows += [(name.title(), came.headers[name]) for name in ("etag", "link") if name in came.headers]
-        rows.append(("Accept-Patch", endpoint.FRAGMENT))
-        if vw.offer.wait is not None:
-            rows.append(("Preference-Applied", f"wait={vw.offer.wait}"))
-        return 201, [*rows, *endpoint.CORS], came.body
-
-    def turned_away(self, answer):
+                    exchange.respond(status, [*headers, *extra_headers], body)
+            self.failpoints.reach("answered")
+
+        if not (viewing.plays and self.journal.persist(viewing, reply, respond)):
+            respond()
+
+    def playing_answer(self, viewing):
+        answer = viewing.box_answer
+        headers = [("Content-Type", endpoint.SDP), ("Location", f"/session/{viewing.name}")]
+        headers += [(name.title(), answer.headers[name]) for name in ("etag", "link") if name in answer.headers]
+        headers.append(("Accept-Patch", endpoint.FRAGMENT))
+        if viewing.offer.wait is not None:
+            headers.append(("Preference-Applied", f"wait={viewing.offer.wait}"))
+        return 201, [*headers, *endpoint.CORS], answer.body
+
+    def refusal_answer(self, answer):
         if answer.kind is AnswerKind.BLOCKED:
-            rows = [("Retry-After", str(max(1, fields.seconds_up(answer.hold_off))))] if answer.hold_off else []
-            no = Refusal(
-                503, "nothing that holds this title has room", rows, fate="blocked", hold_off_ms=answer.hold_off / 10
+            headers = [("Retry-After", str(max(1, fields.seconds_up(answer.hold_off))))] if answer.hold_off else []
+            refusal = Refusal(
+                503,
+                "no box that holds this title has capacity",
+                headers,
+                fate="blocked",
+                hold_off_ms=answer.hold_off / 10,
             )
         elif answer.overdue or answer.outcome in (Outcome.TIMEOUT, Outcome.CANCELLED, None):
-            no = Refusal(504, "no video server answered in time", fate="aborted")
+            refusal = Refusal(504, "no video server answered in time", fate="aborted")
         else:
-            no = Refusal(502, f"the video server failed: {answer.outcome.value}", fate="aborted")
-        return no.answer()
+            refusal = Refusal(502, f"the video server failed: {answer.outcome.value}", fate="aborted")
+        return refusal.answer()
 
-    def dismiss(self, vw):
-        """Nothing of this viewing is left to hear of."""
-        self.viewings.pop(vw.id, None)
-        self.names.pop(vw.name, None)
-        self.journal.over(vw.name)
-        self.keys.forget(vw.id)
-        self.not_out(vw.key)
+    def drop_viewing(self, viewing):
+        """Removes all state of a viewing."""
+        self.viewings.pop(viewing.id, None)
+        self.sessions_by_name.pop(viewing.name, None)
+        self.journal.viewing_ended(viewing.name)
+        self.key_book.forget(viewing.id)
+        self.clear_pending(viewing.key)
 
     def probe(self, server):
-        self.boxes.probe(server, lambda how, took, figures: self.runner.probe_ended(server, how, took, figures))
+        self.boxes.probe(
+            server, lambda outcome, duration, figures: self.runner.probe_ended(server, outcome, duration, figures)
+        )
 
     def tell_peers(self, server, kb):
         if self.members.shell:
             self.members.shell.tell(server, kb)
 
     def log(self, text):
-        self.lines.warning("runner", text=text)
+        self.logger.warning("runner", text=text)
 
-    # From boxes
+    # Events from boxes
 
-    def is_out(self, key):
-        return key in self.by_key or key in self.members.book.claims
+    def is_pending(self, key):
+        """Tells whether a set-up or claim under this key has no answer yet."""
+        return key in self.pending_setups or key in self.members.seat_claims.claims
 
-    def found(self, box, keys):
-        """Sessions that a box holds for us and we do not know: of an earlier life they are taken up, else ended."""
-        life = f"{self.name}.{self.boot}."
+    def unknown_sessions(self, box, keys):
+        """Handles sessions that a box reports for this manager and that are not held here.
+
+        Sessions of the current boot are ended; sessions of an earlier one are taken over.
+        """
+        prefix = f"{self.name}.{self.boot}."
         for key in keys:
-            if key.startswith(life):
+            if key.startswith(prefix):
                 self.boxes.end(box, key)
-        if any(not key.startswith(life) for key in keys):
-            self.members.listed([box])
-        else:  # a box that answers nothing may still say by its stream that it has none
-            self.members.said(box)
-
-    def seat_of(self, cookie):
-        """(title, package) as the module numbers them, which hears what the title is; None where it is not known."""
-        row, package = self.entry(cookie.title, cookie.sends)
+        if any(not key.startswith(prefix) for key in keys):
+            self.members.boxes_listed([box])
+        else:  # a box that leaves queries unanswered may still report on its stream that nothing is left
+            self.members.nothing_left(box)
+
+    def seat_for(self, cookie):
+        """Returns (title id, package number) of a session and announces the title to the decision module.
+
+        None if the title is unknown.
+        """
+        entry, package = self.title_entry(cookie.title, cookie.sends)
         if package is None:
             return None
-        if news := self.view.news(cookie.title):
-            self.runner.titles_changed([news])
-        return row.title, self.sense.packages[package]
+        if event := self.catalogue_view.news(cookie.title):
+            self.runner.titles_changed([event])
+        return entry.title, self.site_terms.packages[package]
 
-    def value_of(self, cookie):
-        """What a second of a viewing is worth; 0 where its title is not known."""
-        package = self.entry(cookie.title, cookie.sends)[1]
+    def value_per_second(self, cookie):
+        """Returns the value of one second of a viewing; 0 if its title is unknown."""
+        package = self.title_entry(cookie.title, cookie.sends)[1]
         return self.site.packages[package].value if package is not None else 0
 
-    def has_seat(self, seat, own):
-        """Whether a claim may take one more: seats bound a manager in what it takes over too.
+    def has_free_seat(self, seat, own_earlier):
+        """Tells whether a claim may use one more seat: seat limits apply to takeovers too.
 
-        own: of what an earlier life left, which is among what may be out there; another's comes on top of that.
+        own_earlier: the session was started by an earlier boot of this manager and is already counted among those that
+        boxes may still hold; a session of another manager is counted in addition to them.
         """
         manager = self.runner.manager
-        return manager.has_seat(seat, () if own else manager.servers.values())
+        return manager.has_seat(seat, () if own_earlier else manager.servers.values())
 
-    def let_end(self, box, key, epoch, why):
-        """Ends a session there that is ours by name and epoch, and that we don't hold."""
+    def end_unheld(self, box, key, epoch, reason):
+        """Ends a session that carries this manager's name and epoch but is not held here."""
         self.boxes.epochs[key] = epoch
         self.boxes.end(box, key)
-        self.lines.info("ended instead of taken over", box=box, key=key, why=why)
+        self.logger.info("ended instead of taken over", box=box, key=key, why=reason)
 
-    def ended_there(self, key):
-        self.members.ended_there(key)
+    def ended_at_box(self, key):
+        self.members.ended_at_box(key)
 
-    def adopted(self, box, place, key, epoch, row, cookie, boot, orphan):
-        """A box granted a claim: the viewing plays on, under this manager."""
-        if key in self.boxes.keys(box):  # claimed twice: for its client, and as what a dead one left
+    def adopt(self, box, place, key, epoch, session, cookie, boot, orphan):
+        """Takes over a viewing whose claim a box has granted; the viewing continues under this manager."""
+        # claimed twice: for a client's retry and in the takeover of a dead manager
+        if key in self.boxes.sessions_at(box):
             self.boxes.epochs[key] = max(epoch, self.boxes.epochs.get(key, 0))
             return
-        entry, package = self.entry(cookie.title, cookie.sends)
-        if package is None or orphan or cookie.name in self.names or key in self.boxes.owed.keys(box):
-            self.let_end(box, key, epoch, "nobody watches" if orphan else "not known, or held already")
+        entry, package = self.title_entry(cookie.title, cookie.sends)
+        if (
+            package is None
+            or orphan
+            or cookie.name in self.sessions_by_name
+            or key in self.boxes.pending_releases.keys(box)
+        ):
+            self.end_unheld(box, key, epoch, "orphaned" if orphan else "title unknown, or session already held")
             return
-        self.ids += 1
-        vw = self.viewings[self.ids] = Viewing(self.ids, None, None, self.name)
-        vw.name, vw.key, vw.box, vw.place, vw.path, vw.plays = cookie.name, key, box, place[:2], row.location, True
-        self.names[vw.name] = vw
-        if news := self.view.news(cookie.title):
-            self.runner.titles_changed([news])
-        self.boxes.plays(box, key, vw.id, boot, epoch)
-        self.boxes.keep_stream(box)
+        self.last_id += 1
+        viewing = self.viewings[self.last_id] = Viewing(self.last_id, None, None, self.name)
+        viewing.name, viewing.key, viewing.box, viewing.box_address, viewing.session_path, viewing.plays = (
+            cookie.name,
+            key,
+            box,
+            place[:2],
+            session.location,
+            True,
+        )
+        self.sessions_by_name[viewing.name] = viewing
+        if event := self.catalogue_view.news(cookie.title):
+            self.runner.titles_changed([event])
+        self.boxes.session_started(box, key, viewing.id, boot, epoch)
+        self.boxes.ensure_stream(box)
         self.runner.session_handed_over(
-            ask_of(vw.id, cookie, self.sense.packages[package], entry.title, entry, len(self.site.ladder.kb) - 1),
+            handover_request(
+                viewing.id, cookie, self.site_terms.packages[package], entry.title, entry, len(self.site.ladder.kb) - 1
+            ),
             box,
-            row.rung,
-            round(row.age_ms * 10),
+            session.rung,
+            round(session.age_ms * 10),
         )
-        self.journal.restore(vw)
-        self.lines.info("took over", viewing=vw.id, box=box, key=key, epoch=epoch)
+        self.journal.restore(viewing)
+        self.logger.info("took over", viewing=viewing.id, box=box, key=key, epoch=epoch)
 
-    def noted(self, id, kind, amount):
+    def box_note(self, id, kind, amount):
         self.runner.playback_note(id, kind, amount)
 
-    def not_out(self, key):
-        self.by_key.pop(key, None)
-        self.early.discard(key)
+    def clear_pending(self, key):
+        self.pending_setups.pop(key, None)
+        self.ended_early.discard(key)
 
-    def over_early(self, key):
-        """A box says that what is still out is over, or another's: its answer is on another way, and may come later."""
-        if key in self.by_key:
-            self.early.add(key)
-        self.members.over_early(key)
+    def ended_before_answer(self, key):
+        """Records that a box's stream reported the end or loss of a pending set-up or claim.
 
-    def session_over(self, id, how, to=""):
-        """to: the manager that has it now, where its box said so."""
-        vw, held = self.viewings.get(id), self.runner.sessions.get(id)
-        if vw is None:
+        Its answer uses another connection and may arrive later.
+        """
+        if key in self.pending_setups:
+            self.ended_early.add(key)
+        self.members.ended_before_grant(key)
+
+    def session_ended(self, id, outcome, to=""):
+        """Removes a viewing that is over; to: the manager that claimed it, if the box named one."""
+        viewing, session_record = self.viewings.get(id), self.runner.sessions.get(id)
+        if viewing is None:
             return
         if to:
-            self.members.moved(vw.name, to)
-        self.dismiss(vw)
-        self.lines.info("over", viewing=id, how=how.value)
-        if held is not None:
-            self.runner.attempt_ended(id, held.nth, how, now() - held.sent_at)
+            self.members.record_move(viewing.name, to)
+        self.drop_viewing(viewing)
+        self.logger.info("over", viewing=id, how=outcome.value)
+        if session_record is not None:
+            self.runner.attempt_ended(id, session_record.nth, outcome, now() - session_record.sent_at)
 
-    def listed(self, kind, entries):
+    def list_changed(self, kind, entries):
         before = set(self.boxes.places)
-        self.audit.renew()
-        self.boxes.placed(self.book.places)
-        self.members.listed(set(self.book.places) - before)
-        self.lines.info("listed", kind=kind.value, boxes=len(entries), version=self.book.version)
+        self.audit.update_stamp()
+        self.boxes.update_places(self.box_list.places)
+        self.members.boxes_listed(set(self.box_list.places) - before)
+        self.logger.info("listed", kind=kind.value, boxes=len(entries), version=self.box_list.version)
         self.runner.server_list_changed(kind, entries)
 
-    # From the catalogue
+    # Events from the catalogue
 
-    def title_news(self, titles, version):
-        """A version was taken: the module hears at once of the titles that it knows."""
-        self.fleet.versions(self.watch.follower)
-        self.audit.renew()
+    def titles_changed(self, titles, version):
+        """Handles a new catalogue version: the decision module gets the changes of titles that it knows."""
+        self.fleet.version_taken(self.catalogue_watch.follower)
+        self.audit.update_stamp()
         if titles is not None:
-            self.runner.titles_changed(self.view.changed(titles))
+            self.runner.titles_changed(self.catalogue_view.changed(titles))
 
     def check_titles(self, titles):
-        """A version that does not fit this manager's own terms is refused; the last good one serves on."""
+        """Raises ValueError for a version that does not fit this manager's settings; the last valid one remains."""
         rungs = len(self.site.ladder.kb)
         for title in titles.values():
             if title is None:
                 continue
             for package in (title.view, title.push):
-                if package is not None and package not in self.sense.packages:
+                if package is not None and package not in self.site_terms.packages:
                     raise ValueError(f"title {title.name[:60]!r}: this manager knows no package {package[:60]!r}")
             if title.top >= rungs:
                 raise ValueError(
@@ -943,69 +1065,70 @@
                 )
 
     def seats_in_use(self):
-        names = {title_id(name): name for name in self.view.told}
-        rows = list(self.sense.rows.items())
+        """Returns {(title, package): seats in use} for packages with limited seats."""
+        names = {title_id(name): name for name in self.catalogue_view.told}
+        rows = list(self.site_terms.rows.items())
         return {
-            (names[title], rows[p][0]): n
-            for (title, p), n in self.runner.manager.seats.taken.items()
-            if rows[p][1].seats and title in names
+            (names[title], rows[package_number][0]): count
+            for (title, package_number), count in self.runner.manager.seats.taken.items()
+            if rows[package_number][1].seats and title in names
         }
 
     def holders(self, title):
-        """Boxes that hold a title, as far as this manager knows."""
-        if self.watch is not None:
-            found = self.watch.follower.titles.get(title)
-            return found.may_take() if found else ()
-        entry = self.view.look(title, now())
+        """Returns the boxes that hold a title, as far as this manager knows."""
+        if self.catalogue_watch is not None:
+            known = self.catalogue_watch.follower.titles.get(title)
+            return known.may_take() if known else ()
+        entry = self.catalogue_view.look(title, now())
         cells = self.site.fleet.cells
         return [
             id
-            for id, srv in self.runner.manager.servers.items()
-            if entry and (srv.row.cell - entry.first_cell) % cells < entry.cells
+            for id, server in self.runner.manager.servers.items()
+            if entry and (server.row.cell - entry.first_cell) % cells < entry.cells
         ]
 
     def catalogue_state(self):
-        if self.watch is None:
-            return {"from": "site file", "titles": len(self.view.entries)}
-        follower, age = self.watch.follower, self.watch.age_s()
+        if self.catalogue_watch is None:
+            return {"from": "site file", "titles": len(self.catalogue_view.entries)}
+        follower, age = self.catalogue_watch.follower, self.catalogue_watch.age_s()
         return {
             "from": "service",
-            "up": self.watch.up,
+            "up": self.catalogue_watch.up,
             "epoch": follower.epoch,
             "version": follower.version,
             "titles": len(follower.titles),
             "heard_s_ago": age,
-            "told_module": len(self.view.told),
+            "told_module": len(self.catalogue_view.told),
         }
 
     def settings(self):
-        return {"site": self.site.name, "mark": self.mark, **self.load_counts}
+        return {"site": self.site.name, "mark": self.settings_digest, **self.reload_counts}
 
     def state(self):
         boxes = {}
-        for id, row in self.book.rows.items():
-            srv = self.runner.manager.servers.get(id)
-            watch = self.boxes.watches.get(id)
+        for id, row in self.box_list.rows.items():
+            server = self.runner.manager.servers.get(id)
+            box_watch = self.boxes.watches.get(id)
             boxes[id] = {
                 "address": row.address,
                 "state": row.state,
                 "cell": row.cell,
-                "viewings": len(srv.viewings) if srv else 0,
-                "use": round(srv.use(), 3) if srv else None,
-                "stream": watch.state.value if watch else "off",
+                "viewings": len(server.viewings) if server else 0,
+                "use": round(server.use(), 3) if server else None,
+                "stream": box_watch.state.value if box_watch else "off",
             }
-        age = None if self.book.told_at is None else (now() - self.book.told_at) / 10_000
+        list_age_s = None if self.box_list.told_at is None else (now() - self.box_list.told_at) / 10_000
         return json.dumps(
             {
                 "manager": self.name,
                 "boot": self.boot,
-                "list_version": self.book.version,
-                "list_heard_s_ago": age,
+                "list_version": self.box_list.version,
+                "list_heard_s_ago": list_age_s,
                 "viewings": len(self.viewings),
                 "counts": self.counts,
                 "gone_at_door": self.server.gone_at_door,
                 "settings": self.settings(),
-                "owed": self.boxes.owed.count(),
+                "owed": self.boxes.pending_releases.count(),
                 "faults": self.runner.faults,
                 "overdue": self.runner.overdue,
                 "catalogue": self.catalogue_state(),
@@ -1014,8 +1137,8 @@
                 "gate": self.gate.state(),
                 "audit": self.audit.state(),
                 "fleet": self.fleet.state(),
-                "first_tries": self.tries.counts,
-                "lent": self.lent.counts,
+                "first_tries": self.retries.counts,
+                "lent": self.release_replicas.counts,
                 "duties": self.duties.state(),
                 "boxes": boxes,
             }
--- a/flaxscale/front/journal.py
+++ b/flaxscale/front/journal.py
@@ -1,4 +1,4 @@
-"""The journal of keys at one manager: answers under a key leave when they are durable, many with one sync."""
+"""The journal of idempotency keys at one manager: answers are sent once their keys are durable, many per sync."""
 
 import asyncio
 
@@ -8,82 +8,95 @@
 from ..serve.clock import SECOND, now, unix_clock
 from ..store.log import StoreError
 
-COMMIT_S = 0.002  # keys of answers within this are made durable with one sync
-RESUME_S = 1.0  # a disk that failed is tried again so often
-NOT_KEPT = ("Idempotency-Key-Kept", "no")  # says that a restart may forget the answer to this key
+COMMIT_DELAY_S = 0.002  # keys of answers within this time are made durable with one sync
+RESUME_INTERVAL_S = 1.0  # interval of attempts to resume after a disk failure
+NOT_KEPT_HEADER = ("Idempotency-Key-Kept", "no")  # states that a restart may forget the answer to this key
 
 
 class FrontJournal:
+    """The durable idempotency keys of one manager."""
+
     def __init__(self, front, files=None):
-        """files: None keeps nothing."""
-        self.front, self.kept, self.timer, self.unsaid = front, None, None, []
-        unix = unix_clock()  # a step of the wall clock ends no key of this life early
-        self.unix_s = lambda: unix() / SECOND
+        """files: None disables the journal."""
+        self.front, self.key_journal, self.timer, self.waiting_answers = front, None, None, []
+        unix_time = unix_clock()  # a step of the wall clock does not expire keys of this boot early
+        self.unix_s = lambda: unix_time() / SECOND
         if files is None:
             return
         try:
-            self.kept = KeyJournal(files, self.unix_s())
-        except (StoreError, ValueError, OSError) as bad:
-            # Serving goes on without: a retry after a restart may then make a second viewing.
-            front.lines.error("journal not used", detail=str(bad))
+            self.key_journal = KeyJournal(files, self.unix_s())
+        except (StoreError, ValueError, OSError) as error:
+            # Continues without a journal: a retry after a restart may then start a second viewing.
+            front.logger.error("journal not used", detail=str(error))
+
+    def persist(self, viewing, reply, respond):
+        """Stores the answer under the viewing's key; False if there is none to store.
 
-    def put_down(self, vw, reply, say):
-        """True where say() is called, with headers to add, once the key is durable or can't be; else False."""
-        keys = self.front.keys
-        if self.kept is None or vw.id not in keys.by_id:
+        Otherwise returns True, and respond() is called with additional headers once the key is durable or can't be.
+        """
+        keys = self.front.key_book
+        if self.key_journal is None or viewing.id not in keys.by_id:
             return False
-        viewer, title, key = keys.by_id[vw.id]
+        viewer, title, key = keys.by_id[viewing.id]
         status, headers, body = reply
-        until = self.unix_s() + keys.keep / SECOND
-        offer_print = xxhash.xxh3_64_intdigest(vw.offer.body)
-        self.kept.put(Played(vw.name, viewer, title, key, offer_print, until, status, list(headers), body))
-        if self.kept.failed():
-            say((NOT_KEPT,))
+        keep_until = self.unix_s() + keys.keep / SECOND
+        offer_digest = xxhash.xxh3_64_intdigest(viewing.offer.body)
+        self.key_journal.put(
+            Played(viewing.name, viewer, title, key, offer_digest, keep_until, status, list(headers), body)
+        )
+        if self.key_journal.failed():
+            respond((NOT_KEPT_HEADER,))
             return True
-        self.unsaid.append(say)
-        self.soon(COMMIT_S)
+        self.waiting_answers.append(respond)
+        self.schedule(COMMIT_DELAY_S)
         return True
 
-    def over(self, name):
-        """A viewing is over; written with whatever is written next."""
-        if self.kept is not None and name in self.kept.rows:
-            self.kept.over(name)
-            self.soon(COMMIT_S)
+    def viewing_ended(self, name):
+        """Records that a viewing is over, with the next write."""
+        if self.key_journal is not None and name in self.key_journal.rows:
+            self.key_journal.over(name)
+            self.schedule(COMMIT_DELAY_S)
 
-    def restore(self, vw):
-        """What an earlier life answered for a viewing that was taken up again."""
-        if self.kept is not None and (row := self.kept.rows.get(vw.name)):
-            left = round(self.kept.renew(vw.name, self.unix_s(), self.front.keys.keep / SECOND) * SECOND)
-            self.front.keys.restore(
-                (row.viewer, row.title, row.key), row.print, vw.id, (row.status, row.headers, row.body), now() + left
+    def restore(self, viewing):
+        """Restores the stored answer of a viewing that was taken over from an earlier boot."""
+        if self.key_journal is not None and (row := self.key_journal.rows.get(viewing.name)):
+            remaining = round(
+                self.key_journal.renew(viewing.name, self.unix_s(), self.front.key_book.keep / SECOND) * SECOND
+            )
+            self.front.key_book.restore(
+                (row.viewer, row.title, row.key),
+                row.print,
+                viewing.id,
+                (row.status, row.headers, row.body),
+                now() + remaining,
             )
 
-    def soon(self, after_s):
+    def schedule(self, after_s):
         if self.timer is None:
             self.timer = asyncio.get_running_loop().call_later(after_s, self.commit)
 
     def commit(self):
-        """Answers leave once their keys are durable; while the disk fails they leave at once, and say so."""
-        self.timer, unsaid, self.unsaid = None, self.unsaid, []
-        kept = self.settle()
-        self.front.steps.at("kept")
-        for say in unsaid:
-            say(() if kept else (NOT_KEPT,))
+        """Sends the answers whose keys are durable now; while the disk fails, at once and marked as not kept."""
+        self.timer, waiting, self.waiting_answers = None, self.waiting_answers, []
+        is_durable = self.make_durable()
+        self.front.failpoints.reach("kept")
+        for respond in waiting:
+            respond(() if is_durable else (NOT_KEPT_HEADER,))
 
-    def settle(self):
-        """Whether all that was put is durable."""
-        failed_before = self.kept.failed()
+    def make_durable(self):
+        """Writes all pending rows; tells whether they are durable."""
+        failed_before = self.key_journal.failed()
         try:
             if failed_before:
-                self.kept.resume(self.unix_s())
-                self.front.lines.info("journal kept again")
+                self.key_journal.resume(self.unix_s())
+                self.front.logger.info("journal kept again")
             else:
-                self.kept.commit(self.unix_s())
+                self.key_journal.commit(self.unix_s())
             return True
-        except OSError as bad:
+        except OSError as error:
             if not failed_before:
-                self.front.lines.error("journal failed", detail=str(bad))
-            self.soon(RESUME_S)
+                self.front.logger.error("journal failed", detail=str(error))
+            self.schedule(RESUME_INTERVAL_S)
             return False
 
     def stop(self):
