--- a/flaxscale/front/members.py
+++ b/flaxscale/front/members.py
@@ -1,4 +1,4 @@
-"""Take-over on sockets: sessions of a manager that died, left or was restarted are asked for at boxes and claimed."""
+"""Takeover at one manager: queries boxes for sessions of a dead, departed or restarted manager and claims them."""
 
 import asyncio
 import base64
@@ -14,17 +14,18 @@
 from ..members.swim import State
 from ..serve.clock import now
 from ..store.shapes import decoded
-from .boxes import FLOOR
+from .boxes import FLOOR_HEADER
 
-ASK_S, PAUSE_S = 1.0, PAUSE / 10_000
-ASKED_MOST = 32  # boxes that are asked at a time
-GONE_MOST = 10_000
-YOUNG_MS = 3000  # a session without media is no orphan before this
-SHAPE = 1
+BOX_TIMEOUT_S = 1.0
+RETRY_PAUSE_S = PAUSE / 10_000  # pause before the same claims are sent again
+MAX_CONCURRENT_QUERIES = 32  # boxes queried at the same time
+MAX_MOVED_SESSIONS = 10_000  # sessions for which the claiming manager is remembered
+MEDIA_GRACE_MS = 3000  # a session without media is not an orphan before this age
+COOKIE_SHAPE = 1
 
 
 class Cookie(msgspec.Struct, array_like=True):
-    """What is put down with a session at its box, for whoever takes the viewing over."""
+    """The data stored with a session at its box, from which another manager can take the viewing over."""
 
     shape: int
     name: str
@@ -32,13 +33,13 @@
     sends: bool
     viewer: int
     top: int
-    hint: int  # expected length, tenths of a millisecond; 0: none
+    hint: int  # expected length in tenths of a millisecond; 0: unknown
     trace: str
 
 
-def cookie_out(name, offer, viewer, top):
-    made = Cookie(
-        SHAPE,
+def encode_cookie(name, offer, viewer, top):
+    cookie = Cookie(
+        COOKIE_SHAPE,
         name,
         offer.title,
         offer.sends,
@@ -47,16 +48,16 @@
         round(offer.length * 10_000) if offer.length else 0,
         offer.trace or "",
     )
-    return base64.urlsafe_b64encode(msgspec.msgpack.encode(made)).decode()
+    return base64.urlsafe_b64encode(msgspec.msgpack.encode(cookie)).decode()
 
 
-def cookie_in(text):
-    """A Cookie; ValueError where it is none that this program knows."""
-    return decoded(base64.urlsafe_b64decode(text), Cookie, SHAPE, "cookie")
+def decode_cookie(text):
+    """Decodes a Cookie; ValueError if it has no known shape."""
+    return decoded(base64.urlsafe_b64decode(text), Cookie, COOKIE_SHAPE, "cookie")
 
 
 class SessionRow(msgspec.Struct):
-    """One session as a box tells it."""
+    """One session as a box reports it."""
 
     key: str
     owner: str
@@ -68,63 +69,71 @@
     cookie: str
 
 
-class UnderFloor(OSError):
-    """A box refused it for the version under which it was done."""
+class BelowFloor(OSError):
+    """A box refused an action because of the catalogue version that this manager uses."""
 
     def __init__(self, headers):
-        super().__init__("under the floor of versions")
+        super().__init__("below the version floor")
         self.headers = headers
 
 
-OUTDATED = "flaxscale-outdated"  # in a refusal: the token that is known where something was done under a lease
+# in a refusal: the token that the box knows, where an action was done under a lease
+OUTDATED_HEADER = "flaxscale-outdated"
 
 
-class Outdated(Exception):
-    """What was acted on knows a later token, or this one of another owner."""
+class LeaseOutdated(Exception):
+    """The receiver of an action knows a later lease token, or the same one with another owner."""
 
     def __init__(self, token):
-        super().__init__(f"token {token} is known there")
+        super().__init__(f"token {token} is already known")
         self.token = token
 
 
 class Sessions(msgspec.Struct):
+    """Sessions that a box reports, with its boot id."""
+
     boot: str
     sessions: list[SessionRow]
 
 
-class Granted(msgspec.Struct):
+class ClaimsAnswer(msgspec.Struct):
+    """The keys that a box granted."""
+
     granted: list[str]
 
 
 class FrontMembers:
-    def __init__(self, front, keys, seeds, members=True, via=None):
-        """members: False: no talk between managers; only what was this manager's own is taken up again at a start.
+    """The member protocol and the takeover of sessions at one manager."""
 
-        via: {a member's address: the one by which we reach it}, where that is another one.
+    def __init__(self, front, member_keys, seeds, members=True, member_routes=None):
+        """members: if False, managers exchange no messages; only this manager's own earlier sessions are taken over.
+
+        member_routes: {a member's address: the address under which this manager reaches the member}, where they differ.
         """
-        self.via = via
-        self.front, self.keys, self.seeds = front, [k.encode() for k in keys], seeds
-        self.shell, self.jobs, self.on = None, {}, members
-        self.taken = self.refused = 0
-        self.book = SeatBook(now(), round(front.site.fleet.lease_ms * 10))
-        self.ration, self.asking = Ration(now()), asyncio.Semaphore(ASKED_MOST)
-        self.told, self.timer = None, None
-        self.gone_to = OrderedDict()  # viewings that another manager took from us
-        self.claiming, self.lost_again = set(), set()  # claims that are out; what of them is over again
-
-    async def start(self, host, port, serves):
+        self.member_routes = member_routes
+        self.front, self.member_keys, self.seeds = front, [key.encode() for key in member_keys], seeds
+        self.shell, self.jobs, self.enabled = None, {}, members
+        self.taken_over = self.claims_refused = 0
+        self.seat_claims = SeatBook(now(), round(front.site.fleet.lease_ms * 10))
+        self.ration, self.query_limit = Ration(now()), asyncio.Semaphore(MAX_CONCURRENT_QUERIES)
+        self.last_reserved, self.reserve_timer = None, None
+        self.moved_to = OrderedDict()  # {session name: manager that claimed the session}
+        # keys of claims without an answer yet; those of them whose session has ended since
+        self.claims_in_flight, self.ended_while_claiming = set(), set()
+
+    async def start(self, host, port, service_address):
         front = self.front
-        if self.on:
+        if self.enabled:
             self.shell = MemberShell(
                 front.name,
-                "%s:%d" % serves,
+                "%s:%d" % service_address,
                 front.boot,
-                front.sense.seed,
-                self.keys,
-                front.lines,
-                self.changed,
-                self.word,
-                self.via,
+                front.site_terms.seed,
+                self.member_keys,
+                front.logger,
+                self.members_changed,
+                self.peer_message,
+                self.member_routes,
                 front.fleet,
             )
             self.address = await self.shell.start(host, port, self.seeds)
@@ -132,27 +141,32 @@
         return None
 
     def recover(self):
-        """At a start: whatever an earlier life of this manager left playing."""
-        self.timer = asyncio.get_running_loop().call_later((self.book.until - now()) / 10_000, self.reserve)
-        self.listed(self.front.boxes.places)
-
-    def reserve(self):
-        """Tells the module of the seats that may be taken without it, where that changed."""
-        made = self.book.reserved(now())
-        if made != self.told:
-            self.told = made
-            self.front.runner.seats_reserved(*made)
-
-    def over_early(self, key):
-        """A session is over, or another's, by its box's stream or by our own order: where its claim is out, the grant
-        is on another way and comes later. Held all the same it would be ours for good, with nothing there."""
-        if key in self.claiming:
-            self.lost_again.add(key)
-
-    def ended_there(self, key):
-        """A box ended a session, or is gone with it: where we had claimed it only for that, its seat is free."""
-        if self.book.settled(key):
-            self.reserve()
+        """Takes over, at a start, the sessions that an earlier boot of this manager left playing."""
+        self.reserve_timer = asyncio.get_running_loop().call_later(
+            (self.seat_claims.until - now()) / 10_000, self.update_reservations
+        )
+        self.boxes_listed(self.front.boxes.places)
+
+    def update_reservations(self):
+        """Informs the decision module, on a change, of the seats that unsettled claims may occupy."""
+        reserved = self.seat_claims.reserved(now())
+        if reserved != self.last_reserved:
+            self.last_reserved = reserved
+            self.front.runner.seats_reserved(*reserved)
+
+    def ended_before_grant(self, key):
+        """Records that a session ended or was claimed by another manager, by its box's stream or this manager's order.
+
+        The grant of a claim uses another connection and may arrive later; a session adopted then would be held
+        forever although nothing plays at the box.
+        """
+        if key in self.claims_in_flight:
+            self.ended_while_claiming.add(key)
+
+    def ended_at_box(self, key):
+        """Frees the seat of a session that was claimed only to be ended, once its box has ended it or is gone."""
+        if self.seat_claims.settled(key):
+            self.update_reservations()
 
     # Members
 
@@ -160,174 +174,193 @@
         return self.shell.swim.alive() if self.shell and self.shell.swim else [self.front.name]
 
     def member(self, name):
-        """What we hold of another manager, or None."""
+        """Returns what is known of another manager, or None."""
         return self.shell.swim.members.get(name) if self.shell else None
 
-    def serves(self, name):
+    def service_address(self, name):
         member = self.member(name)
         return member.serves if member is not None else None
 
-    def moved(self, name, to):
-        """Another manager has this viewing now: whoever asks us for it is sent there."""
-        self.gone_to[name] = to
-        while len(self.gone_to) > GONE_MOST:
-            self.gone_to.popitem(last=False)
+    def record_move(self, name, to):
+        """Records which manager has claimed a viewing, for redirects of its client."""
+        self.moved_to[name] = to
+        while len(self.moved_to) > MAX_MOVED_SESSIONS:
+            self.moved_to.popitem(last=False)
 
-    def present(self, name, asked):
-        """Where to ask for a viewing that is not ours, or None: nobody but us can know."""
+    def locate(self, name, asked):
+        """Returns the address of the manager to ask for a viewing; None if there is no better one than this manager."""
         if self.shell is None:
             return None
-        manager = whom(name, self.front.name, self.alive(), self.gone_to.get(name), asked)
-        return manager and self.serves(manager)
+        manager = whom(name, self.front.name, self.alive(), self.moved_to.get(name), asked)
+        return manager and self.service_address(manager)
 
-    def takers(self):
-        """Members that may take something over: those that live and do not say that they are full; all, if all do."""
+    def available_members(self):
+        """Returns the living members that have not reported being full, or all living ones if all are full."""
         alive, full = self.alive(), self.front.fleet.full()
         return [name for name in alive if name not in full] or alive
 
-    def another(self, viewer):
-        """Where another manager serves, for a viewer who can't be taken here."""
-        others = [n for n in self.alive() if n != self.front.name]
-        others = [n for n in others if n in self.takers()] or others
-        return self.serves(keeper_of(str(viewer), others)) if others else None
+    def alternative_for(self, viewer):
+        """Returns the service address of another manager for a viewer that can't be accepted here."""
+        others = [name for name in self.alive() if name != self.front.name]
+        others = [name for name in others if name in self.available_members()] or others
+        return self.service_address(keeper_of(str(viewer), others)) if others else None
 
-    def changed(self, changes):
+    def members_changed(self, changes):
         if self.shell.swim is not None:
-            self.front.audit.renew()
-        for news in changes:
-            if news.state in (State.DEAD, State.LEFT):
-                self.take_over(news.name)
+            self.front.audit.update_stamp()
+        for change in changes:
+            if change.state in (State.DEAD, State.LEFT):
+                self.take_over(change.name)
 
-    def word(self, sender, box, kb):
+    def peer_message(self, sender, box, kb):
         self.front.runner.peer_load_changed(sender, box, kb)
 
-    # Taking over
+    # Takeover
 
     def take_over(self, manager, boxes=None):
-        """Asks boxes, all that are listed where none are named, for that manager's sessions; one job each at a time."""
-        if self.front.fleet.shut is not None:
-            return  # what is under the floor takes nothing over
+        """Takes over a manager's sessions at the given boxes, by default at all listed ones; one job for each."""
+        if self.front.fleet.out_of_service_since is not None:
+            return  # a manager below the version floor takes nothing over
         for box in list(self.front.boxes.places) if boxes is None else boxes:
             if (box, manager) not in self.jobs:
-                job = asyncio.get_running_loop().create_task(self.from_box(box, manager))
+                job = asyncio.get_running_loop().create_task(self.take_over_from_box(box, manager))
                 self.jobs[box, manager] = job
                 job.add_done_callback(lambda _, key=(box, manager): self.jobs.pop(key, None))
 
-    def listed(self, boxes):
-        """Boxes that the list names only now may hold sessions of an earlier life."""
-        if self.book.listed(boxes, now()):
-            self.reserve()
+    def boxes_listed(self, boxes):
+        """Checks newly listed boxes for sessions of an earlier boot."""
+        if self.seat_claims.listed(boxes, now()):
+            self.update_reservations()
         self.take_over(self.front.name, boxes)
 
-    def said(self, box):
-        """Nothing of an earlier life is left at a box that we don't know of."""
-        self.book.said(box)
-        self.reserve()
+    def nothing_left(self, box):
+        """Records that a box holds no unknown sessions of an earlier boot."""
+        self.seat_claims.said(box)
+        self.update_reservations()
 
-    def still_away(self, manager):
+    def is_away(self, manager):
         return manager == self.front.name or manager not in self.alive()
 
-    async def from_box(self, box, manager):
-        course, lent = Course(), self.front.lent
-        while self.may_take(manager) and (place := self.front.boxes.places.get(box)) is not None:
+    async def take_over_from_box(self, box, manager):
+        retry_course, release_replicas = Course(), self.front.release_replicas
+        while self.may_take_over(manager) and (place := self.front.boxes.places.get(box)) is not None:
             try:
-                async with self.asking:
+                async with self.query_limit:
                     if manager != self.front.name:
-                        self.front.steps.at("asking")
-                    found, owed = await asyncio.gather(
+                        self.front.failpoints.reach("asking")
+                    found, pending = await asyncio.gather(
                         self.call(place, "GET", f"/manager/sessions?of={manager}", None, Sessions),
-                        lent.of(manager, box),
+                        release_replicas.pending_for(manager, box),
                     )
-                    pause = course.came(await self.claim(box, place, manager, found, course.rank, owed))
-            except (OSError, asyncio.TimeoutError, msgspec.MsgspecError) as bad:
-                pause = course.failed()
-                self.front.lines.info(
-                    "sessions not heard", box=box, of=manager, detail=str(bad)[:200], tries=course.failures
+                    pause = retry_course.came(await self.claim(box, place, manager, found, retry_course.rank, pending))
+            except (OSError, asyncio.TimeoutError, msgspec.MsgspecError) as error:
+                pause = retry_course.failed()
+                self.front.logger.info(
+                    "session query failed", box=box, of=manager, detail=str(error)[:200], tries=retry_course.failures
                 )
             if pause is None:
                 return
             await asyncio.sleep(pause / 10_000)
 
-    def may_take(self, manager):
-        """It is not back, when it takes its own up again, and we are in service, and stay: who leaves with it would
-        claim what the others, who have asked already for what is ours, never look for again."""
-        swim = self.shell.swim if self.shell is not None else None  # None: a list came before its socket was open
+    def may_take_over(self, manager):
+        """Tells whether this manager may take over sessions of another one, or of its own earlier boot.
+
+        Not if the other manager is back, which takes its own sessions over; nor while this manager is out of service
+        or leaving: the others have already queried the boxes for its sessions and would not find later claims.
+        """
+        # None: the box list arrived before the member socket was open
+        swim = self.shell.swim if self.shell is not None else None
         leaving = swim is not None and swim.me.state is State.LEFT
-        return self.still_away(manager) and self.front.fleet.shut is None and not leaving
+        return self.is_away(manager) and self.front.fleet.out_of_service_since is None and not leaving
 
-    async def call(self, place, method, target, body, kind, more=(), within=ASK_S):
+    async def call(self, place, method, target, body, answer_type, extra_headers=(), timeout_s=BOX_TIMEOUT_S):
         result = await self.front.boxes.pool.ask(
             place.host,
             place.port,
             method,
             target,
-            [("Content-Type", "application/json"), *more, *self.front.boxes.who],
+            [("Content-Type", "application/json"), *extra_headers, *self.front.boxes.identity_headers],
             msgspec.json.encode(body) if body is not None else b"",
-            within,
+            timeout_s,
         )
-        if FLOOR in result.headers:
-            raise UnderFloor(result.headers)
-        if OUTDATED in result.headers:
-            raise Outdated(int(result.headers[OUTDATED]))
+        if FLOOR_HEADER in result.headers:
+            raise BelowFloor(result.headers)
+        if OUTDATED_HEADER in result.headers:
+            raise LeaseOutdated(int(result.headers[OUTDATED_HEADER]))
         if result.status != 200:
             raise OSError(f"status {result.status}")
-        return msgspec.json.decode(result.body, type=kind)
+        return msgspec.json.decode(result.body, type=answer_type)
 
-    async def claim(self, box, place, manager, found, rank, owed, under=()):
-        """Claims what is ours to take of a box's answer. The rank at which to come again, None: nothing is left.
+    async def claim(self, box, place, manager, found, rank, pending, lease_headers=()):
+        """Claims those sessions of a box's answer that are this manager's to take.
 
-        under: a field that names the lease, where it is done under one; Outdated where that is over.
+        Returns the rank at which to query again, or None if nothing is left.
+        lease_headers: header that names the lease, if the claim needs one; LeaseOutdated if that lease has ended.
         """
-        front, own = self.front, manager == self.front.name
-        rows, cookies, whole = {}, {}, True
+        front, is_own = self.front, manager == self.front.name
+        rows, cookies, all_read = {}, {}, True
         for row in found.sessions:
             if (
-                row.key in front.boxes.keys(box)
-                or front.is_out(row.key)
+                row.key in front.boxes.sessions_at(box)
+                or front.is_pending(row.key)
                 or row.key.startswith(f"{front.name}.{front.boot}.")
-                or row.key in self.claiming
-                or row.key in front.boxes.owed.keys(box)
+                or row.key in self.claims_in_flight
+                or row.key in front.boxes.pending_releases.keys(box)
             ):
-                continue  # of this very life, or soon to be; or its client has ended it
+                continue  # held here, about to be, or already ended by its client
             try:
-                cookies[row.key] = cookie_in(row.cookie)
-            except ValueError as bad:
-                front.lines.info("session not taken over", key=row.key, detail=str(bad))
-                whole = False
+                cookies[row.key] = decode_cookie(row.cookie)
+            except ValueError as error:
+                front.logger.info("session not taken over", key=row.key, detail=str(error))
+                all_read = False
                 continue
             rows[row.key] = row
         sessions = [
-            Session(r.key, r.owner, r.epoch, cookies[r.key].name, r.media or r.age_ms < YOUNG_MS) for r in rows.values()
+            Session(
+                session.key,
+                session.owner,
+                session.epoch,
+                cookies[session.key].name,
+                session.media or session.age_ms < MEDIA_GRACE_MS,
+            )
+            for session in rows.values()
         ]
-        made = plan(sessions, manager, front.name, [front.name] if own else self.takers(), rank, owed)
-        wanted = sorted(made.claims, key=lambda c: (c.key in made.ends, -front.value_of(cookies[c.key])))
-        later = False
-        while wanted and self.may_take(manager):
-            room = len(wanted) if own else front.site.front.held_most - len(front.viewings)
-            may = self.ration.take(now(), len(wanted), room)
-            if not may:
-                if room <= 0:
-                    break  # the next in the order takes them
+        takeover_plan = plan(
+            sessions, manager, front.name, [front.name] if is_own else self.available_members(), rank, pending
+        )
+        wanted = sorted(
+            takeover_plan.claims,
+            key=lambda claim: (claim.key in takeover_plan.ends, -front.value_per_second(cookies[claim.key])),
+        )
+        retry_later = False
+        while wanted and self.may_take_over(manager):
+            capacity = len(wanted) if is_own else front.site.front.held_most - len(front.viewings)
+            allowed = self.ration.take(now(), len(wanted), capacity)
+            if not allowed:
+                if capacity <= 0:
+                    break  # the next manager in the order takes them
                 await asyncio.sleep(self.ration.wait() / 10_000)
                 continue
-            claims, unknown = self.to_claim(box, wanted[:may], own, rows, cookies)
-            wanted, later = wanted[may:], later or unknown
+            claims, unresolved = self.select_claims(box, wanted[:allowed], is_own, rows, cookies)
+            wanted, retry_later = wanted[allowed:], retry_later or unresolved
             if not claims:
                 continue
-            front.steps.at("claiming")
-            granted = await self.granted(box, place, claims, under)
-            front.steps.at("granted")
+            front.failpoints.reach("claiming")
+            granted = await self.request_claims(box, place, claims, lease_headers)
+            front.failpoints.reach("granted")
             for key in granted:
-                if key in owed:
-                    front.lent.counts["carried_out"] += 1
-                front.adopted(box, place, key, claims[key], rows[key], cookies[key], found.boot, key in made.ends)
-                front.steps.at("adopted")
+                if key in pending:
+                    front.release_replicas.counts["carried_out"] += 1
+                front.adopt(
+                    box, place, key, claims[key], rows[key], cookies[key], found.boot, key in takeover_plan.ends
+                )
+                front.failpoints.reach("adopted")
             for key in claims:
-                if key not in front.boxes.owed.keys(box):
-                    self.book.settled(key)
-            self.taken += len(granted)
-            self.refused += len(claims) - len(granted)
-            front.lines.info(
+                if key not in front.boxes.pending_releases.keys(box):
+                    self.seat_claims.settled(key)
+            self.taken_over += len(granted)
+            self.claims_refused += len(claims) - len(granted)
+            front.logger.info(
                 "taken over",
                 box=box,
                 of=manager,
@@ -336,92 +369,98 @@
                 refused=len(claims) - len(granted),
                 left=len(wanted),
             )
-        if own and whole and not later and not wanted:
-            self.said(box)
-        self.reserve()
-        return rank if later else made.next
-
-    def to_claim(self, box, wanted, own, rows, cookies):
-        """({key: epoch} to claim now, whether something of it may be claimed only later)."""
-        front, claims, later = self.front, {}, False
-        for c in wanted:  # who watches first, and what is worth most, where there is little room
-            seat = front.seat_of(cookies[c.key])
+        if is_own and all_read and not retry_later and not wanted:
+            self.nothing_left(box)
+        self.update_reservations()
+        return rank if retry_later else takeover_plan.next
+
+    def select_claims(self, box, wanted, is_own, rows, cookies):
+        """Returns ({key: epoch} to claim now, whether some of the sessions can be claimed only later)."""
+        front, claims, retry_later = self.front, {}, False
+        for claim in wanted:  # watched and most valuable sessions first, in case capacity is short
+            seat = front.seat_for(cookies[claim.key])
             if seat is None:
-                later = True  # its title is not known yet, or not any more
-            elif front.has_seat(seat, own):
-                claims[c.key] = c.epoch
-                self.book.claim(c.key, seat)
-                self.reserve()  # each is asked for with those before it counted
-            elif own:  # over what seats allow by now, and it bears our name
-                self.book.claim(c.key, seat)
-                front.let_end(box, c.key, rows[c.key].epoch, "no seat")
-            else:  # the lease ends it, unless we only don't know yet what we have ourselves
-                later = later or bool(self.book.reserved(now()).boxes)
-        return claims, later
-
-    async def granted(self, box, place, claims, under=()):
-        """Keys that a box granted, and that are ours still. An answer that is lost may have granted all: the same
-        claims are asked for again. Where the box stays silent they are given up: it is told to end what it may have
-        granted.
+                retry_later = True  # its title is not known yet, or no longer
+            elif front.has_free_seat(seat, is_own):
+                claims[claim.key] = claim.epoch
+                self.seat_claims.claim(claim.key, seat)
+                self.update_reservations()  # each seat check counts the claims before it
+            elif is_own:  # over the seat limit, and the session carries this manager's name
+                self.seat_claims.claim(claim.key, seat)
+                front.end_unheld(box, claim.key, rows[claim.key].epoch, "no seat")
+            else:  # left to end with its lease, unless this manager does not yet know all sessions of its own
+                retry_later = retry_later or bool(self.seat_claims.reserved(now()).boxes)
+        return claims, retry_later
+
+    async def request_claims(self, box, place, claims, lease_headers=()):
+        """Returns the keys that a box granted and that are still wanted.
+
+        If the answer is lost, all claims may have been granted, so the same claims are sent again. If the box stays
+        silent they are given up, and the box is ordered to end whatever it may have granted.
         """
         audit = self.front.audit
-        self.claiming.update(claims)
+        self.claims_in_flight.update(claims)
         try:
-            for n in range(TRIES):
+            for attempt in range(TRIES):
                 try:
                     for key in claims:
-                        audit.did("claim", key, box)
-                    field = audit.field(box, place.boot)
-                    said = await self.call(
-                        place, "POST", "/manager/adopt", {"claims": claims}, Granted, [field, *under]
+                        audit.record("claim", key, box)
+                    stamp = audit.stamp_header(box, place.boot)
+                    answer = await self.call(
+                        place, "POST", "/manager/adopt", {"claims": claims}, ClaimsAnswer, [stamp, *lease_headers]
                     )
-                    audit.stamps.heard(box, place.boot, field[1])
-                    good = [key for key in said.granted if key in claims]
-                    for key in self.lost_again.intersection(good):  # refused there where it is another's
-                        self.front.let_end(box, key, claims[key], "over meanwhile")
-                    return [key for key in good if key not in self.lost_again]
-                except UnderFloor as no:  # the box granted none of it
-                    self.front.boxes.answered_under(box, place.boot, field[1], no)
-                    if self.front.fleet.shut is not None:
+                    audit.stamps.heard(box, place.boot, stamp[1])
+                    granted = [key for key in answer.granted if key in claims]
+                    # the box refuses the order if another manager has the session
+                    for key in self.ended_while_claiming.intersection(granted):
+                        self.front.end_unheld(box, key, claims[key], "ended while being claimed")
+                    return [key for key in granted if key not in self.ended_while_claiming]
+                except BelowFloor as refusal:  # the box granted no claim
+                    self.front.boxes.stamp_answered(box, place.boot, stamp[1], refusal)
+                    if self.front.fleet.out_of_service_since is not None:
                         return []
-                except (OSError, asyncio.TimeoutError, msgspec.MsgspecError) as bad:
-                    self.front.lines.info(
-                        "claims not answered", box=box, count=len(claims), tries=n + 1, detail=str(bad)[:200]
+                except (OSError, asyncio.TimeoutError, msgspec.MsgspecError) as error:
+                    self.front.logger.info(
+                        "claims not answered", box=box, count=len(claims), tries=attempt + 1, detail=str(error)[:200]
                     )
                     if box not in self.front.boxes.places:
                         break
-                await asyncio.sleep(PAUSE_S)
-        except (asyncio.CancelledError, Outdated):
+                await asyncio.sleep(RETRY_PAUSE_S)
+        except (asyncio.CancelledError, LeaseOutdated):
             for key in claims:
-                self.book.settled(key)
+                self.seat_claims.settled(key)
             raise
         finally:
-            self.claiming.difference_update(claims)
-            self.lost_again.difference_update(claims)
+            self.claims_in_flight.difference_update(claims)
+            self.ended_while_claiming.difference_update(claims)
         for key, epoch in claims.items():
-            self.front.let_end(box, key, epoch, "claim not answered")
+            self.front.end_unheld(box, key, epoch, "claim not answered")
         return []
 
     def state(self):
         if self.shell is None:
-            return {"on": False, "taken_over": self.taken, "not_heard_yet": len(self.book.reserved(now()).boxes)}
+            return {
+                "on": False,
+                "taken_over": self.taken_over,
+                "not_heard_yet": len(self.seat_claims.reserved(now()).boxes),
+            }
         members = {
-            m.name: {
-                "state": m.state.name.lower(),
-                "incarnation": m.incarnation,
-                "address": m.address,
-                "serves": m.serves,
-                "boot": m.boot,
+            member.name: {
+                "state": member.state.name.lower(),
+                "incarnation": member.incarnation,
+                "address": member.address,
+                "serves": member.serves,
+                "boot": member.boot,
             }
-            for m in self.shell.swim.members.values()
+            for member in self.shell.swim.members.values()
         }
         return {
             "on": True,
             "alive": self.alive(),
             "members": members,
-            "taken_over": self.taken,
-            "claims_refused": self.refused,
-            "not_heard_yet": len(self.book.reserved(now()).boxes),
+            "taken_over": self.taken_over,
+            "claims_refused": self.claims_refused,
+            "not_heard_yet": len(self.seat_claims.reserved(now()).boxes),
             "stood_still": self.shell.swim.stood,
             "messages_refused": self.shell.refused,
         }
@@ -430,15 +469,15 @@
         if self.shell:
             self.shell.leave()
 
-    def back(self):
-        """In service again after leaving: others hear so, and what bears our name and nobody took is claimed."""
+    def rejoin(self):
+        """Returns to service after leaving: informs the others and claims its own sessions that were not taken over."""
         if self.shell:
             self.shell.back()
         self.take_over(self.front.name)
 
     async def stop(self):
-        if self.timer is not None:
-            self.timer.cancel()
+        if self.reserve_timer is not None:
+            self.reserve_timer.cancel()
         for job in list(self.jobs.values()):
             job.cancel()
         await asyncio.gather(*self.jobs.values(), return_exceptions=True)
@@ -446,8 +485,18 @@
             self.shell.close()
 
 
-def ask_of(id, cookie, package, title, row, top):
-    """What the module is told of a viewing that plays already."""
+def handover_request(id, cookie, package, title, entry, top):
+    """Builds the event that hands a playing viewing over to the decision module."""
     return interface.SessionRequest(
-        id, package, title, cookie.viewer, 0, min(cookie.top, top), row.first_cell, row.cells, cookie.hint, False, False
+        id,
+        package,
+        title,
+        cookie.viewer,
+        0,
+        min(cookie.top, top),
+        entry.first_cell,
+        entry.cells,
+        cookie.hint,
+        False,
+        False,
     )
--- a/flaxscale/front/peaks.py
+++ b/flaxscale/front/peaks.py
@@ -1,4 +1,4 @@
-"""Announced peaks at one manager on sockets: the keeper, its clock, and what the module is told each second."""
+"""Announced peaks at one manager: the reservations kept for them and their clock, updated each second."""
 
 import asyncio
 import time
@@ -9,126 +9,154 @@
 from ..peaks.keeper import RoomKeeper, Surroundings, rates_of
 from ..serve.clock import now
 
-EVERY_S = 1.0
-TELL_EVERY = 2  # of these, what was seen come is told to the service
+UPDATE_INTERVAL_S = 1.0
+UPDATES_PER_REPORT = 2  # updates between two reports of seen arrivals to the service
 
 
 class FrontPeaks:
+    """Reservations for announced peaks at one manager."""
+
     def __init__(self, front, address=None, files=None):
         site = front.site
         self.front, self.site, self.axis = front, site, Axis()
-        self.room_kb, self.timer, self.turns, self.telling, self.told = rates_of(site), None, 0, None, None
-        self.stated = [row.announcement() for row in site.peaks]
+        self.reserved_kb, self.timer, self.updates, self.report_task, self.last_sent = (
+            rates_of(site),
+            None,
+            0,
+            None,
+            None,
+        )
+        self.site_peaks = [row.announcement() for row in site.peaks]
         self.keeper = RoomKeeper(
-            self.stated, Surroundings(self.room_of, front.holders, site.fleet.racks, site.fleet.uplink_kb), self.now()
+            self.site_peaks,
+            Surroundings(self.reservation_for, front.holders, site.fleet.racks, site.fleet.uplink_kb),
+            self.now(),
         )
-        self.watch, self.kept_kb = None, 0.0
+        self.peak_watch, self.kept_kb = None, 0.0
         if address:
-            from ..catalogued.peakwatch import PeakWatch  # gRPC is slow to load and most tests need none
+            from ..catalogued.peakwatch import PeakWatch  # loading gRPC is slow, and most tests do not need it
 
-            self.watch = PeakWatch(address, front.name, self.changed, self.heard_clock, front.lines, files, self.check)
+            self.peak_watch = PeakWatch(
+                address, front.name, self.peaks_changed, self.sync_clock, front.logger, files, self.check
+            )
 
-    def rule(self, site):
-        """Goes by these settings from now on; what was announced and who came to it stands."""
-        self.site, self.room_kb = site, rates_of(site)
-        self.keeper.fleet = Surroundings(self.room_of, self.front.holders, site.fleet.racks, site.fleet.uplink_kb)
+    def apply_settings(self, site):
+        """Applies changed settings; announcements and counted arrivals are kept."""
+        self.site, self.reserved_kb = site, rates_of(site)
+        self.keeper.fleet = Surroundings(
+            self.reservation_for, self.front.holders, site.fleet.racks, site.fleet.uplink_kb
+        )
 
     def start(self):
-        if self.watch:
-            self.watch.start()
-        self.each()
+        if self.peak_watch:
+            self.peak_watch.start()
+        self.update()
 
     def now(self):
         return self.axis.at(now() / 10_000, time.time())
 
-    def heard_clock(self, service_s):
+    def sync_clock(self, service_s):
         self.axis.hear(service_s, now() / 10_000)
 
     def check(self, peaks):
-        """Titles that this manager does not know yet are no fault: they may come with the catalogue's next version."""
-        return faults(peaks, {t for p in peaks for t in p.titles}, len(self.site.ladder.kb), tuple(self.site.packages))
+        """Returns the faults of announced peaks; unknown titles are none: the next catalogue version may have them."""
+        return faults(
+            peaks,
+            {title for peak in peaks for title in peak.titles},
+            len(self.site.ladder.kb),
+            tuple(self.site.packages),
+        )
 
-    def changed(self, peaks):
-        known = {p.name for p in peaks}
-        self.keeper.replace([*(p for p in self.stated if p.name not in known), *peaks])
-        self.front.audit.renew()
+    def peaks_changed(self, peaks):
+        known = {peak.name for peak in peaks}
+        self.keeper.replace([*(peak for peak in self.site_peaks if peak.name not in known), *peaks])
+        self.front.audit.update_stamp()
 
-    # What the keeper asks
+    # Queries of the keeper
 
     def package_of(self, title):
-        """The package of a title's viewers; an announced package is its own."""
-        entry = self.front.view.look(title, now())
+        """Returns the package of a title's viewers; an announced package stands for itself."""
+        entry = self.front.catalogue_view.look(title, now())
         return entry.view if entry else title if title in self.site.packages else None
 
-    def room_of(self, title, rung, viewings, boxes):
+    def reservation_for(self, title, rung, viewings, boxes):
         package = self.package_of(title)
-        return self.room_kb(package, rung, viewings, boxes) if package else 0.0
+        return self.reserved_kb(package, rung, viewings, boxes) if package else 0.0
 
-    # What the front tells
+    # Input from the front
 
-    def asked(self, title, package):
+    def count_request(self, title, package):
         if self.keeper.peaks:
             self.keeper.asked(title, package, self.site.managers)
 
-    def each(self):
-        """Each second: the room kept now, to the module; what was seen, to the service."""
-        self.timer = asyncio.get_running_loop().call_later(EVERY_S, self.each)
-        if not self.keeper.peaks and not self.told:
+    def update(self):
+        """Sends the current reservations to the decision module and, at intervals, the arrivals seen to the service."""
+        self.timer = asyncio.get_running_loop().call_later(UPDATE_INTERVAL_S, self.update)
+        if not self.keeper.peaks and not self.last_sent:
             return
-        runner, s = self.front.runner, self.now()
-        servers = {id: (srv.row, srv.link.kb) for id, srv in runner.manager.servers.items()}
-        rooms, titles, packages = self.keeper.rooms(s, servers)
-        self.kept_kb = sum(rooms.values())
-        told = rooms, titles, packages
-        if told != self.told or rooms:
+        runner, time_s = self.front.runner, self.now()
+        servers = {id: (server.row, server.link.kb) for id, server in runner.manager.servers.items()}
+        reservations, titles, packages = self.keeper.rooms(time_s, servers)
+        self.kept_kb = sum(reservations.values())
+        sent = reservations, titles, packages
+        if sent != self.last_sent or reservations:
             runner.peaks_reserved(
-                rooms,
-                {title_id(t): rung for t, rung in titles.items()},
-                {self.front.sense.packages[p]: rung for p, rung in packages.items()},
+                reservations,
+                {title_id(title): rung for title, rung in titles.items()},
+                {self.front.site_terms.packages[package]: rung for package, rung in packages.items()},
             )
-        if bool(rooms) != bool(self.told and self.told[0]):
-            self.front.lines.info(
+        if bool(reservations) != bool(self.last_sent and self.last_sent[0]):
+            self.front.logger.info(
                 "room kept",
                 kb=round(self.kept_kb),
-                boxes=len(rooms),
+                boxes=len(reservations),
                 peaks=sorted(self.keeper.kept),
                 given_up=round(self.keeper.given_up),
             )
-        self.told = told if rooms or titles or packages else None
-        self.turns += 1
-        if self.watch and self.turns % TELL_EVERY == 0 and (self.telling is None or self.telling.done()):
-            seen = [
-                (p.name, self.keeper.come[p.name], max(0.0, self.keeper.due(p, s)), self.keeper.kept.get(p.name, 0.0))
-                for p in self.keeper.peaks
-                if p.start_s - p.lead_s <= s < p.end_s + 10
+        self.last_sent = sent if reservations or titles or packages else None
+        self.updates += 1
+        if (
+            self.peak_watch
+            and self.updates % UPDATES_PER_REPORT == 0
+            and (self.report_task is None or self.report_task.done())
+        ):
+            arrivals = [
+                (
+                    peak.name,
+                    self.keeper.come[peak.name],
+                    max(0.0, self.keeper.due(peak, time_s)),
+                    self.keeper.kept.get(peak.name, 0.0),
+                )
+                for peak in self.keeper.peaks
+                if peak.start_s - peak.lead_s <= time_s < peak.end_s + 10
             ]
-            self.telling = asyncio.ensure_future(self.watch.tell(seen))
+            self.report_task = asyncio.ensure_future(self.peak_watch.tell(arrivals))
 
     def state(self):
-        s = self.now()
-        version, up = (self.watch.follower.version, self.watch.up) if self.watch else (None, False)
+        time_s = self.now()
+        version, up = (self.peak_watch.follower.version, self.peak_watch.up) if self.peak_watch else (None, False)
         return {
             "version": version,
             "up": up,
             "kept_kb": round(self.kept_kb),
             "given_up_kb": round(self.keeper.given_up),
             "peaks": {
-                p.name: {
-                    "starts_in_s": round(p.start_s - s, 1),
-                    "ends_in_s": round(p.end_s - s, 1),
-                    "came": self.keeper.come[p.name],
-                    "due": round(max(0.0, self.keeper.due(p, s)), 1),
-                    "kept_kb": round(self.keeper.kept.get(p.name, 0.0)),
+                peak.name: {
+                    "starts_in_s": round(peak.start_s - time_s, 1),
+                    "ends_in_s": round(peak.end_s - time_s, 1),
+                    "came": self.keeper.come[peak.name],
+                    "due": round(max(0.0, self.keeper.due(peak, time_s)), 1),
+                    "kept_kb": round(self.keeper.kept.get(peak.name, 0.0)),
                 }
-                for p in self.keeper.peaks
+                for peak in self.keeper.peaks
             },
         }
 
     async def stop(self):
         if self.timer is not None:
             self.timer.cancel()
-        if self.watch:
+        if self.peak_watch:
             from ..catalogued.streams import ended
 
-            await ended(self.telling)
-            await self.watch.stop()
+            await ended(self.report_task)
+            await self.peak_watch.stop()
--- a/flaxscale/front/release_replicas.py
+++ b/flaxscale/front/release_replicas.py
@@ -1,4 +1,4 @@
-"""Ends owed to boxes that do not answer, on one manager's sockets: told to a few others, asked for when one is dead."""
+"""Pending releases of boxes that do not answer: replicated to a few other managers in case this one dies."""
 
 import asyncio
 
@@ -7,13 +7,22 @@
 from ..recovery import lent
 from ..serve.clock import now
 
-TICK_S = 0.1
-TELL_S, ASK_S = 0.5, 0.3
+TICK_INTERVAL_S = 0.1
+REPLICATE_TIMEOUT_S = 0.5
+QUERY_TIMEOUT_S = 0.3
 
 
-class FrontLent:
+class FrontReleaseReplicas:
+    """Replicates pending releases and stores those of other managers."""
+
     def __init__(self, front):
-        self.front, self.lending, self.book, self.timer, self.jobs = front, lent.Lending(), lent.LentBook(), None, set()
+        self.front, self.outgoing, self.received, self.timer, self.jobs = (
+            front,
+            lent.Lending(),
+            lent.LentBook(),
+            None,
+            set(),
+        )
         self.counts = dict.fromkeys(("told", "carried_out", "not_heard"), 0)
 
     def start(self):
@@ -27,33 +36,37 @@
             job.cancel()
 
     def tick(self):
-        self.timer = asyncio.get_running_loop().call_later(TICK_S, self.tick)
-        for box, keys in self.lending.due(self.front.boxes.owed.standing(), now()).items():
-            job = asyncio.get_running_loop().create_task(self.tell(box, keys))
+        self.timer = asyncio.get_running_loop().call_later(TICK_INTERVAL_S, self.tick)
+        for box, keys in self.outgoing.due(self.front.boxes.pending_releases.standing(), now()).items():
+            job = asyncio.get_running_loop().create_task(self.replicate(box, keys))
             self.jobs.add(job)
             job.add_done_callback(self.jobs.discard)
 
-    async def tell(self, box, keys):
+    async def replicate(self, box, keys):
         front = self.front
-        ends = ",".join(f"{key}:{front.boxes.epochs.get(key, 0)}" for key in keys)
-        took = await asyncio.gather(
+        releases = ",".join(f"{key}:{front.boxes.epochs.get(key, 0)}" for key in keys)
+        answers = await asyncio.gather(
             *(
-                self.ask(name, f"/fleet/owed?by={front.name}&box={box}&ends={ends}", TELL_S)
+                self.query(name, f"/fleet/owed?by={front.name}&box={box}&ends={releases}", REPLICATE_TIMEOUT_S)
                 for name in lent.keepers(box, front.members.alive(), front.name)
             )
         )
-        if any(answer is not None for answer in took):
+        if any(answer is not None for answer in answers):
             self.counts["told"] += len(keys)
         else:
-            self.lending.unheard(box, keys)
+            self.outgoing.unheard(box, keys)
 
-    async def of(self, manager, box):
-        """{key: epoch} of the ends that a manager owed to a box, as far as its keepers say."""
+    async def pending_for(self, manager, box):
+        """Returns {key: epoch} of a manager's pending releases at a box, as far as its keepers know them."""
         front = self.front
-        names = lent.keepers(box, front.members.alive(), manager)
-        found = self.book.of(manager, box, now()) if front.name in names else {}
+        keeper_names = lent.keepers(box, front.members.alive(), manager)
+        found = self.received.of(manager, box, now()) if front.name in keeper_names else {}
         for answer in await asyncio.gather(
-            *(self.ask(name, f"/fleet/owes?of={manager}&box={box}", ASK_S) for name in names if name != front.name)
+            *(
+                self.query(name, f"/fleet/owes?of={manager}&box={box}", QUERY_TIMEOUT_S)
+                for name in keeper_names
+                if name != front.name
+            )
         ):
             if answer is None:
                 self.counts["not_heard"] += 1
@@ -61,25 +74,25 @@
                 found.update(answer)
         return found
 
-    async def ask(self, name, target, seconds):
+    async def query(self, name, target, timeout_s):
         try:
-            result = await self.front.fleet.call(name, target, seconds)
+            result = await self.front.fleet.call(name, target, timeout_s)
             return msgspec.json.decode(result.body, type=dict[str, int])
         except (OSError, msgspec.MsgspecError):
             return None
 
-    # What others ask
+    # Requests from other managers
 
-    def asked(self, what, args):
-        """The answer to `owed` (take this down) or `owes` (tell what was taken down). ValueError: can't be read."""
+    def handle_request(self, resource, args):
+        """Answers `owed` (store these releases) or `owes` (return stored ones); ValueError if unreadable."""
         box = int(args["box"]) if args.get("box", "").isdecimal() else -1
-        if what == "owes":
-            return msgspec.json.encode(self.book.of(args.get("of", ""), box, now()))
-        ends = {}
+        if resource == "owes":
+            return msgspec.json.encode(self.received.of(args.get("of", ""), box, now()))
+        releases = {}
         for row in args.get("ends", "").split(",")[: lent.BATCH]:
             key, _, epoch = row.rpartition(":")
             if not key or not epoch.isdecimal():
-                raise ValueError(f"an end that can't be read: {row[:60]!r}")
-            ends[key] = int(epoch)
-        self.book.take(args.get("by", ""), box, ends, now())
+                raise ValueError(f"unreadable release: {row[:60]!r}")
+            releases[key] = int(epoch)
+        self.received.take(args.get("by", ""), box, releases, now())
         return b"{}"
--- a/flaxscale/front/retries.py
+++ b/flaxscale/front/retries.py
@@ -1,4 +1,4 @@
-"""First tries on one manager's sockets: who is told of a client's key, who is asked, what boxes say became of it."""
+"""Retries of a client at one manager: looks up an earlier attempt at other managers and settles it with the boxes."""
 
 import asyncio
 import contextlib
@@ -9,211 +9,242 @@
 from ..recovery import tries
 from ..serve.clock import now
 from ..signalling.endpoint import Refusal
-from .members import SessionRow, cookie_in
+from .members import SessionRow, decode_cookie
 
-KEEPERS_S, BOX_S, PAUSE_S = 0.15, 0.4, 0.05
-FIELD = "Flaxscale-Try"
-NOT_KNOWN = Refusal(504, "what became of an earlier try is not known", fate="aborted")
+KEEPER_TIMEOUT_S = 0.15  # for a member that may know of an earlier attempt
+BOX_TIMEOUT_S = 0.4
+BOX_RETRY_PAUSE_S = 0.05  # pause between two queries of the same box
+RETRY_HEADER = "Flaxscale-Try"
+OUTCOME_UNKNOWN = Refusal(504, "the outcome of an earlier attempt is unknown", fate="aborted")
 
 
-class Stood(SessionRow):
-    """A set-up that stands at a box under a client's key."""
+class EarlierSession(SessionRow):
+    """A session at a box that an earlier attempt under the client's key has set up."""
 
-    print: str  # of the offer's body
+    print: str  # digest of the offer
     etag: str
     body: str
 
 
-class Taken(msgspec.Struct):
-    """A box's answer: stood; out: it is still worked on; neither: it can't begin there any more."""
+class BoxReport(msgspec.Struct):
+    """A box's report on a key: the session; out: a set-up is in progress; neither: none can begin any more."""
 
     boot: str
-    stood: Stood | None = None
+    stood: EarlierSession | None = None
     out: bool = False
 
 
-class FrontTries:
+class FrontRetries:
+    """Look-ups of clients' earlier attempts at one manager."""
+
     def __init__(self, front):
-        self.front, self.book, self.jobs = front, tries.TryBook(), {}
-        self.looks, self.turns = Looks(), {}  # viewing id: a Future of its turn
+        self.front, self.known_attempts, self.lookups = front, tries.TryBook(), {}
+        # slot_waiters: {viewing id: Future set when its look-up may start}
+        self.lookup_slots, self.slot_waiters = Looks(), {}
         self.counts = dict.fromkeys(("looked_up", "found", "joined", "not_heard", "waited"), 0)
 
     def stop(self):
-        for job in list(self.jobs.values()):
+        for job in list(self.lookups.values()):
             job.cancel()
 
-    def may_go(self, vw, place):
-        """Whether this viewing may be set up at a box's present start."""
-        return not vw.mark or place is not None and tries.may_go(vw.taken_at, place.since)
+    def may_set_up(self, viewing, place):
+        """Tells whether a set-up of this viewing is allowed at the current boot of a box."""
+        return not viewing.key_digest or place is not None and tries.may_go(viewing.accepted_at, place.since)
+
+    def setup_headers(self, viewing, place):
+        """Returns the additional headers of a set-up whose client gave a key."""
+        return (
+            [(RETRY_HEADER, f"{viewing.key_digest};{tries.print_of(viewing.offer.body)};{place.boot}")]
+            if viewing.key_digest
+            else []
+        )
 
-    def fields(self, vw, place):
-        """What goes with a set-up of a viewing whose client gave a key."""
-        return [(FIELD, f"{vw.mark};{tries.print_of(vw.offer.body)};{place.boot}")] if vw.mark else []
+    def start(self, viewing, viewer, deadline, proceed):
+        """Starts a viewing that has a key, or whose viewer may have only one viewing of the title.
 
-    def first(self, vw, viewer, due, ask):
-        """Takes a viewing with a key, or one of a viewer who may have one of a title: ask(age) follows, unless its
-        first try stands somewhere and is taken over. due: when its patience ends.
+        Calls proceed(age), unless the session of an earlier attempt is found and taken over.
+        deadline: when the client's patience ends.
         """
         alive = self.front.members.alive()
-        vw.mark = tries.mark_of(viewer, vw.offer.title, vw.offer.key or "")
+        viewing.key_digest = tries.mark_of(viewer, viewing.offer.title, viewing.offer.key or "")
         if len(alive) < 2:
-            self.book.take(vw.mark, self.front.name, self.front.boot, now())
-            ask(0)
+            self.known_attempts.take(viewing.key_digest, self.front.name, self.front.boot, now())
+            proceed(0)
             return
-        job = self.jobs[vw.id] = asyncio.get_running_loop().create_task(self.look(vw, due, ask, alive))
-        job.add_done_callback(lambda job: self.over(vw, job))
-
-    def over(self, vw, job):
-        self.jobs.pop(vw.id, None)
-        if not job.cancelled() and (bad := job.exception()) is not None:
-            self.front.lines.error("fault", error=f"{type(bad).__name__}: {bad}", viewing=vw.id)
-            self.front.answer_early(vw, Refusal(500, "an error of ours"))
-
-    def left(self, vw):
-        """Its client went while its first try was looked for; True where that was so."""
-        job = self.jobs.get(vw.id)
+        job = self.lookups[viewing.id] = asyncio.get_running_loop().create_task(
+            self.look_up(viewing, deadline, proceed, alive)
+        )
+        job.add_done_callback(lambda job: self.lookup_done(viewing, job))
+
+    def lookup_done(self, viewing, job):
+        self.lookups.pop(viewing.id, None)
+        if not job.cancelled() and (error := job.exception()) is not None:
+            self.front.logger.error("fault", error=f"{type(error).__name__}: {error}", viewing=viewing.id)
+            self.front.refuse_unplaced(viewing, Refusal(500, "An error of ours"))
+
+    def cancel(self, viewing):
+        """Cancels the look-up of a viewing whose client left; False if there is none."""
+        job = self.lookups.get(viewing.id)
         if job is None:
             return False
         job.cancel()
-        self.front.dismiss(vw)
+        self.front.drop_viewing(viewing)
         return True
 
-    async def look(self, vw, due, ask, alive):
+    async def look_up(self, viewing, deadline, proceed, alive):
         front = self.front
         self.counts["looked_up"] += 1
-        named = tries.keepers(vw.mark, alive)
-        found = [self.book.take(vw.mark, front.name, front.boot, now())] if front.name in named else []
-        found += await asyncio.gather(*(self.ask_keeper(name, vw.mark) for name in named if name != front.name))
-        front.steps.at("told")
-        first = tries.first_of(found, self.unsafe(vw))
-        if first is None:
-            ask(0)
+        keeper_names = tries.keepers(viewing.key_digest, alive)
+        found = (
+            [self.known_attempts.take(viewing.key_digest, front.name, front.boot, now())]
+            if front.name in keeper_names
+            else []
+        )
+        found += await asyncio.gather(
+            *(self.ask_keeper(name, viewing.key_digest) for name in keeper_names if name != front.name)
+        )
+        front.failpoints.reach("told")
+        earlier = tries.first_of(found, self.is_unsafe(viewing))
+        if earlier is None:
+            proceed(0)
             return
         self.counts["found"] += 1
         try:
-            if await self.turn(vw, due):
-                await self.take(vw, due, ask, *first)
+            if await self.wait_for_slot(viewing, deadline):
+                await self.settle_at_boxes(viewing, deadline, proceed, *earlier)
             else:
-                front.answer_early(vw, NOT_KNOWN)
+                front.refuse_unplaced(viewing, OUTCOME_UNKNOWN)
         finally:
-            self.turns.pop(vw.id, None)
-            following = self.turns.get(self.looks.over(vw.id))
-            if following is not None and not following.done():
-                following.set_result(True)
-
-    async def turn(self, vw, due):
-        """Waits until this look-up may go on; False where its patience ends before that."""
-        package = self.front.entry(vw.offer.title, vw.offer.sends)[1]
-        if self.looks.come(vw.id, self.front.site.packages[package].value if package else 0):
+            self.slot_waiters.pop(viewing.id, None)
+            next_waiter = self.slot_waiters.get(self.lookup_slots.over(viewing.id))
+            if next_waiter is not None and not next_waiter.done():
+                next_waiter.set_result(True)
+
+    async def wait_for_slot(self, viewing, deadline):
+        """Waits for a free look-up slot; False if the deadline passes first."""
+        package = self.front.title_entry(viewing.offer.title, viewing.offer.sends)[1]
+        if self.lookup_slots.come(viewing.id, self.front.site.packages[package].value if package else 0):
             return True
         self.counts["waited"] += 1
-        turn = self.turns[vw.id] = asyncio.get_running_loop().create_future()
-        return bool((await asyncio.wait({turn}, timeout=max(0, due - now()) / 10_000))[0])
+        granted = self.slot_waiters[viewing.id] = asyncio.get_running_loop().create_future()
+        return bool((await asyncio.wait({granted}, timeout=max(0, deadline - now()) / 10_000))[0])
 
-    async def ask_keeper(self, name, mark):
-        """(manager, age) of an earlier try, None, or SILENT; the keeper notes at once that it is ours from now on."""
+    async def ask_keeper(self, name, key_digest):
+        """Returns (manager, age) of an earlier attempt, None, or SILENT; registers this manager as the latest one."""
         front = self.front
         try:
             result = await front.fleet.call(
-                name, f"/fleet/try?mark={mark}&by={front.name}&boot={front.boot}", KEEPERS_S
+                name, f"/fleet/try?mark={key_digest}&by={front.name}&boot={front.boot}", KEEPER_TIMEOUT_S
             )
             return msgspec.json.decode(result.body, type=tuple[str, int] | None)
         except (OSError, msgspec.MsgspecError):
             self.counts["not_heard"] += 1
             return tries.SILENT
 
-    def unsafe(self, vw):
-        package = self.front.entry(vw.offer.title, vw.offer.sends)[1]
+    def is_unsafe(self, viewing):
+        package = self.front.title_entry(viewing.offer.title, viewing.offer.sends)[1]
         return package is not None and self.front.site.packages[package].effect == "unsafe"
 
-    async def take(self, vw, due, ask, manager, age):
-        """Boxes that may hold the title are asked, all at once, until each has said what it has or can't have."""
-        front, unsafe, said = self.front, self.unsafe(vw), {}
-        ask_now = tries.Ask(tuple(box for box in front.holders(vw.offer.title) if box in front.boxes.places))
-        while isinstance(ask_now, tries.Ask):
+    async def settle_at_boxes(self, viewing, deadline, proceed, manager, age):
+        """Asks all boxes that may hold the title concurrently, until each has reported a session or barred the key."""
+        front, is_unsafe, reports = self.front, self.is_unsafe(viewing), {}
+        step = tries.Ask(tuple(box for box in front.holders(viewing.offer.title) if box in front.boxes.places))
+        while isinstance(step, tries.Ask):
             for box, answer in zip(
-                ask_now.boxes, await asyncio.gather(*(self.ask_box(box, vw) for box in ask_now.boxes))
+                step.boxes, await asyncio.gather(*(self.ask_box(box, viewing) for box in step.boxes))
             ):
-                said[box] = answer
-            # One that we are just ending ourselves is over.
-            ask_now = tries.settle(
+                reports[box] = answer
+            # A session that this manager is already ending counts as over.
+            step = tries.settle(
                 {
-                    box: a and tries.Said(a.stood is not None and a.stood.key not in front.boxes.owed.keys(box), a.out)
-                    for box, a in said.items()
+                    box: report
+                    and tries.Said(
+                        report.stood is not None and report.stood.key not in front.boxes.pending_releases.keys(box),
+                        report.out,
+                    )
+                    for box, report in reports.items()
                 },
-                unsafe,
+                is_unsafe,
             )
-            if isinstance(ask_now, tries.Join):
-                await self.settle(vw, due, ask, age, ask_now.box, said[ask_now.box].stood)
+            if isinstance(step, tries.Join):
+                await self.join_or_replace(viewing, deadline, proceed, age, step.box, reports[step.box].stood)
                 return
-            if isinstance(ask_now, tries.Ask):
-                if now() >= due:
-                    front.lines.info("first try not settled", viewing=vw.id, of=manager, boxes=ask_now.boxes)
-                    front.answer_early(vw, NOT_KNOWN)
+            if isinstance(step, tries.Ask):
+                if now() >= deadline:
+                    front.logger.info("earlier attempt not settled", viewing=viewing.id, of=manager, boxes=step.boxes)
+                    front.refuse_unplaced(viewing, OUTCOME_UNKNOWN)
                     return
-                await asyncio.sleep(PAUSE_S)
-        front.lines.info("first try barred", viewing=vw.id, of=manager, age=age)
-        ask(age)
+                await asyncio.sleep(BOX_RETRY_PAUSE_S)
+        front.logger.info("first try barred", viewing=viewing.id, of=manager, age=age)
+        proceed(age)
 
-    async def ask_box(self, box, vw):
+    async def ask_box(self, box, viewing):
         place = self.front.boxes.places.get(box)
         if place is None:
             return None
         with contextlib.suppress(OSError, asyncio.TimeoutError, msgspec.MsgspecError):
             return await self.front.members.call(
-                place, "POST", "/manager/tries", {"mark": vw.mark}, Taken, within=BOX_S
+                place, "POST", "/manager/tries", {"mark": viewing.key_digest}, BoxReport, timeout_s=BOX_TIMEOUT_S
             )
         return None
 
-    async def settle(self, vw, due, ask, age, box, stood):
-        """What stands is ours from now on: its answer is this client's too, or it makes room for this one."""
-        front, same = self.front, stood.print == tries.print_of(vw.offer.body)
-        if not same and vw.offer.key is not None:
-            front.answer_early(vw, Refusal(422, "this Idempotency-Key came with another offer before"))
+    async def join_or_replace(self, viewing, deadline, proceed, age, box, earlier):
+        """Claims the earlier session: answers the client with it if the offer is the same, else replaces it."""
+        front, same_offer = self.front, earlier.print == tries.print_of(viewing.offer.body)
+        if not same_offer and viewing.offer.key is not None:
+            front.refuse_unplaced(viewing, Refusal(422, "this Idempotency-Key was used with another offer before"))
             return
-        if not same and self.unsafe(vw):
-            front.answer_early(vw, Refusal(409, "this viewer pushes this title already", [("Retry-After", "1")]))
+        if not same_offer and self.is_unsafe(viewing):
+            front.refuse_unplaced(
+                viewing, Refusal(409, "this viewer pushes this title already", [("Retry-After", "1")])
+            )
             return
         try:
-            async with asyncio.timeout(max(0, due - now()) / 10_000):
-                got = await self.claimed(box, stood, same)
+            async with asyncio.timeout(max(0, deadline - now()) / 10_000):
+                claimed = await self.claim(box, earlier, same_offer)
         except TimeoutError:
-            front.let_end(box, stood.key, stood.epoch + 1, "claim not answered in time")
-            front.answer_early(vw, Refusal(504, "what became of an earlier try is not known", fate="aborted"))
+            front.end_unheld(box, earlier.key, earlier.epoch + 1, "claim not answered in time")
+            front.refuse_unplaced(viewing, Refusal(504, "the outcome of an earlier attempt is unknown", fate="aborted"))
             return
-        if got and not same:
-            front.lines.info("in place of its first try", viewing=vw.id, of=stood.key, age=age)
-            ask(age)
+        if claimed and not same_offer:
+            front.logger.info("earlier viewing replaced", viewing=viewing.id, of=earlier.key, age=age)
+            proceed(age)
             return
-        held = front.names.get(cookie_in(stood.cookie).name) if same else None
-        if held is None:
-            front.answer_early(
-                vw, Refusal(503, "an earlier try plays elsewhere", [("Retry-After", "1")], fate="blocked")
+        taken_over = front.sessions_by_name.get(decode_cookie(earlier.cookie).name) if same_offer else None
+        if taken_over is None:
+            front.refuse_unplaced(
+                viewing,
+                Refusal(503, "an earlier attempt plays at another manager", [("Retry-After", "1")], fate="blocked"),
             )
             return
         self.counts["joined"] += 1
-        front.joined(vw, held, stood)
+        front.answer_joined(viewing, taken_over, earlier)
 
-    async def claimed(self, box, stood, keep):
-        """Claims a session that stands; True where it is ours. keep: it plays on; else it is ended."""
+    async def claim(self, box, earlier, keep):
+        """Claims an earlier session; True if granted. keep: the session continues; otherwise it is ended."""
         front = self.front
-        place, cookie, key, epoch = front.boxes.places[box], cookie_in(stood.cookie), stood.key, stood.epoch + 1
-        seat = front.seat_of(cookie)
-        if seat is None or keep and (not front.has_seat(seat, False) or cookie.name in front.names):
+        place, cookie, key, epoch = (
+            front.boxes.places[box],
+            decode_cookie(earlier.cookie),
+            earlier.key,
+            earlier.epoch + 1,
+        )
+        seat = front.seat_for(cookie)
+        if seat is None or keep and (not front.has_free_seat(seat, False) or cookie.name in front.sessions_by_name):
             return False
-        front.members.book.claim(key, seat)
-        front.members.reserve()
-        good = await front.members.granted(box, place, {key: epoch})
-        if good and keep:
-            front.adopted(box, place, key, epoch, stood, cookie, place.boot, False)
-        elif good:
-            front.let_end(box, key, epoch, "its viewer asks anew")
-        front.members.ended_there(key)
-        return bool(good)
-
-    # What others ask
-
-    def asked(self, args):
-        """A member looks for an earlier try than its own, and has it in hand from now on."""
-        mark, by, boot = (args.get(key, "") for key in ("mark", "by", "boot"))
-        return msgspec.json.encode(self.book.take(mark, by, boot, now()))
+        front.members.seat_claims.claim(key, seat)
+        front.members.update_reservations()
+        granted = await front.members.request_claims(box, place, {key: epoch})
+        if granted and keep:
+            front.adopt(box, place, key, epoch, earlier, cookie, place.boot, False)
+        elif granted:
+            front.end_unheld(box, key, epoch, "replaced by a retry with another offer")
+        front.members.ended_at_box(key)
+        return bool(granted)
+
+    # Requests from other managers
+
+    def handle_lookup(self, args):
+        """Answers a member that looks up an earlier attempt and registers that member as the latest one."""
+        key_digest, manager, boot = (args.get(key, "") for key in ("mark", "by", "boot"))
+        return msgspec.json.encode(self.known_attempts.take(key_digest, manager, boot, now()))
--- a/flaxscale/members/shell.py
+++ b/flaxscale/members/shell.py
@@ -61,7 +61,7 @@
     def send(self, out):
         for address, message in out:
             if self.versions is not None:
-                message = message._replace(held=self.versions.rides(self.swim.count()))
+                message = message._replace(held=self.versions.attached_rows(self.swim.count()))
             self.put(address, wire.encode(message, self.keys[0]))
 
     def put(self, address, data):
@@ -84,7 +84,7 @@
                 self.word(message[1], box, kb)
             return
         if self.versions is not None and message.held:
-            self.versions.hear(message.held, message.sender)
+            self.versions.receive_rows(message.held, message.sender)
         self.send(self.swim.heard(message, "%s:%d" % addr[:2], now()))
         self.hear_changes()
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -184,7 +184,7 @@
             raise AssertionError(f"{what} did not come to hold") from None
 
     async def listed(self, front, log):
-        while len(front.book.rows) < len(self.list.rows) or len(self.list.rows) < len(self.boxes):
+        while len(front.box_list.rows) < len(self.list.rows) or len(self.list.rows) < len(self.boxes):
             await log.seen("listed", len(log.all("listed")) + 1)
 
     async def asyncTearDown(self):
@@ -299,8 +299,8 @@
         if front.members.shell:
             front.members.shell.close()
             front.members.shell.muted = True
-        front.members.timer.cancel()
-        front.timer and front.timer.cancel()
+        front.members.reserve_timer.cancel()
+        front.wake_timer and front.wake_timer.cancel()
         front.housekeeping.cancel()
         front.server.stop_listening()
         front.server.abort_all()
@@ -308,7 +308,7 @@
         for box in list(front.boxes.streams):
             front.boxes.close_stream(box)
         await front.boxes.pool.close()
-        front.follower.stop()
+        front.list_follower.stop()
         await front.peaks.stop()
 
     async def media(self, seen):
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -197,7 +197,10 @@
         setup = next(r for r in rows if r["what"] == "setup" and r["manager"] == "m0")
         whole = next(r for r in rows if r["what"] == "stamp" and r["manager"] == "m0")
         self.assertEqual((setup["stamp"], front.boot), (whole["number"], setup["life"]))
-        self.assertEqual((front.mark, front.book.version), (whole["stamp"]["settings"], whole["stamp"]["list_version"]))
+        self.assertEqual(
+            (front.settings_digest, front.box_list.version),
+            (whole["stamp"]["settings"], whole["stamp"]["list_version"]),
+        )
         told = [json.loads(f.state())["audit"] for f in self.fronts]
         self.assertEqual(
             [told[0][k] for k in ("build", "settings", "list_version")],
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -1,4 +1,4 @@
-"""The front on sockets against stand-ins, with the failures that it is for. Each test causes one kind."""
+"""The front on loopback sockets against stand-ins; each test causes one kind of failure."""
 
 import asyncio
 import json
@@ -20,7 +20,7 @@
         self.trouble(2, "answer_lost", 0)
         self.trouble(3, "answer_lost", 0)
         first = None
-        while first is None:  # until the box whose answers are lost is the one that is drawn
+        while first is None:  # until the box whose answers are lost is selected first
             seen = await self.ask()
             self.assertEqual("plays", seen.fate)
             first = next(iter(self.setups(1)), None)
@@ -42,9 +42,9 @@
         self.boxes[1].box.place = self.boxes[1].box.place._replace(slots=0)
         self.boxes[2].box.place = self.boxes[2].box.place._replace(slots=0)
         seen = await self.ask("two", sends=True)
-        self.assertEqual("blocked", seen.fate)  # both said that it never ran: a block is harmless
+        self.assertEqual("blocked", seen.fate)  # both boxes reported that nothing ran, so that blocking is safe
         self.assertEqual({503}, {r["status"] for n in (1, 2) for r in self.box_rows[n].all("answer")})
-        self.assertEqual(4, len(self.setups(1)) + len(self.setups(2)))  # as many as the terms allow
+        self.assertEqual(4, len(self.setups(1)) + len(self.setups(2)))  # the maximum number of tune-ins
 
     async def test_reset_after_the_offer_and_half_an_answer(self):
         for what in ("reset_after", "half"):
@@ -63,16 +63,16 @@
             self.assertEqual("plays", seen.fate)
             if self.box_rows[1].all("lost"):
                 return
-        self.fail("box 1 was never drawn")
+        self.fail("box 1 was never selected")
 
-    async def test_a_full_box_says_so_and_the_next_plays(self):
+    async def test_a_full_box_refuses_and_the_next_one_plays(self):
         self.boxes[1].box.place = self.boxes[1].box.place._replace(slots=0)
         seen = [await self.ask() for _ in range(12)]
         self.assertEqual({"plays"}, {s.fate for s in seen})
         self.assertTrue(self.setups(1))
         self.assertEqual({"full"}, {r["how"] for r in self.log[0].all("tune-in failed", box=1)})
 
-    async def test_a_hung_box_costs_one_tune_in_out_time_and_is_left_alone(self):
+    async def test_a_hung_box_costs_one_tune_in_timeout_and_is_avoided(self):
         self.trouble(1, "hang")
         seen = await asyncio.gather(*(self.ask() for _ in range(8)))
         self.assertEqual({"plays"}, {s.fate for s in seen})
@@ -118,7 +118,7 @@
 
     async def test_the_box_list_dies_and_the_last_list_serves_a_new_manager(self):
         await self.ask()
-        self.fronts[0].follower.save()
+        self.fronts[0].list_follower.save()
         self.list.server.stop_listening()
         self.list.server.abort_all()
         await self.log[0].seen("list not followed")
@@ -148,7 +148,7 @@
         wishes = [self.wish(viewer="anna"), self.wish(viewer="anna")]
         replies = await asyncio.gather(*(self.raw(self.post(w)) for w in wishes))
         self.assertEqual(2, len({location(r) for r in replies}))
-        again = [vw.request.is_retry for vw in self.fronts[0].runner.sessions.values()]
+        again = [viewing.request.is_retry for viewing in self.fronts[0].runner.sessions.values()]
         self.assertEqual([False, True], again)
 
     async def test_a_viewer_who_leaves_in_the_middle_of_a_set_up(self):
@@ -173,7 +173,7 @@
         await self.log[0].seen("answered", fate="left")
         self.assertEqual(0, sum(len(self.setups(n)) for n in (1, 2, 3)))
 
-    async def test_patience_is_the_clients_word_and_bounded(self):
+    async def test_the_clients_stated_patience_is_used_and_bounded(self):
         for box in (1, 2, 3):
             self.trouble(box, "hang")
         reply = await self.raw(self.post(self.wish(), [("Prefer", "wait=1")]))
@@ -230,7 +230,7 @@
         front.set_rung(id, 0, box, 2)
         front.set_rung(id, 0, box, 0)
         row = await self.box_rows[box].seen("rung", key=key)
-        self.assertEqual(0, row["rung"])  # only the last word of one turn is sent
+        self.assertEqual(0, row["rung"])  # only the last rung set within one batch is sent
         self.assertEqual(1, len(self.box_rows[box].all("rung", key=key)))
 
 
@@ -247,7 +247,8 @@
             await self.listed(front, log)
         crowd = [asyncio.ensure_future(self.ask(front=n % 3, length=60)) for n in range(60)]
         seen = await asyncio.gather(*crowd)
-        self.assertLessEqual({s.fate for s in seen}, {"plays", "blocked"})  # new managers pace all they know
+        # new managers limit their rate at all boxes that they know
+        self.assertLessEqual({s.fate for s in seen}, {"plays", "blocked"})
         self.assertFalse(self.boxes[1].box.fallen)
         self.assertLess(len(self.setups(1)), 15)
 
@@ -259,7 +260,7 @@
         reply = await self.raw(data)
         return int(reply.split()[1]), reply
 
-    async def test_what_is_no_request_of_ours_is_refused_by_name(self):
+    async def test_invalid_requests_are_refused_with_a_specific_status(self):
         wish = self.wish()
         good = self.post(wish)
         offer = good.partition(b"\r\n\r\n")[2]
@@ -286,13 +287,14 @@
             problem = json.loads(reply.partition(b"\r\n\r\n")[2])
             self.assertEqual(want, problem["status"])
         status, reply = await self.status(good.replace(b"POST", b"BREW", 1))
-        self.assertEqual(400, status)  # no method of HTTP's: the parser takes none it does not know
+        self.assertEqual(400, status)  # the parser rejects unknown HTTP methods
         self.assertEqual([], self.log[0].all("fault"))
         self.assertEqual(0, sum(len(self.setups(n)) for n in (1, 2, 3)))
 
     async def test_a_refusal_can_be_read_though_the_offer_goes_on_and_nothing_is_read_without_end(self):
         offer = b"v" * (2 << 20)
-        status, _ = await self.status(self.post(self.wish(), body=offer))  # a reset took the 413 back before
+        # guards against a reset that discarded the 413 before it was read
+        status, _ = await self.status(self.post(self.wish(), body=offer))
         self.assertEqual(413, status)
         reader, writer = await asyncio.open_connection(*self.fronts[0].address)
         head = self.post(self.wish(), body=b"").replace(b"Content-Length: 0", b"Content-Length: 999999999")
@@ -305,7 +307,7 @@
                     await writer.drain()
         await self.until(lambda: not self.fronts[0].server.lines, "its connection is closed")
 
-    async def test_405_says_what_is_allowed_and_options_what_is_taken(self):
+    async def test_405_lists_allowed_methods_and_options_accepted_types(self):
         _, reply = await self.status(b"PUT /whep/one HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
         self.assertIn(b"Allow: OPTIONS, POST", reply)
         status, reply = await self.status(b"OPTIONS /whep/one HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
@@ -374,7 +376,7 @@
     async def test_a_manager_that_is_behind_refuses_at_once_and_says_how_long(self):
         gate = self.fronts[0].gate
         self.assertEqual("plays", (await self.ask(viewer="a")).fate)
-        gate.rate, gate.tokens, gate.token_at = 20.0, 0.0, 1 << 60  # no token comes any more
+        gate.rate, gate.tokens, gate.token_at = 20.0, 0.0, 1 << 60  # no further token becomes available
         seen = await self.ask(viewer="b")
         self.assertEqual(("blocked", 503), (seen.fate, seen.status))
         self.assertIn("retry-after", seen.headers)
@@ -387,47 +389,50 @@
         gate.rate = gate.tokens = None
         self.assertEqual("plays", (await self.ask(viewer="c")).fate)
 
-    async def test_what_may_have_waited_through_a_standstill_is_refused_at_once(self):
-        # It looked new: worked on as such, it was answered after its viewer had gone (a stopped manager, on a day).
+    async def test_requests_that_may_have_waited_through_a_stall_are_refused_at_once(self):
+        # Guards against treating requests that waited in the socket while the process was stopped as new: they were
+        # answered after their viewers had left.
         front = self.fronts[0]
-        front.still.rang_at -= 30_000  # as when nothing ran for three seconds, of a patience of two
+        # As if the process had not run for three seconds, with a patience of two.
+        front.stall_detector.rang_at -= 30_000
         seen = await self.ask()
         self.assertEqual(("blocked", "late"), (seen.fate, json.loads(seen.body)["why"]))
         self.assertLess(seen.after, 2_000)
         self.assertEqual([], [row for box in self.boxes for row in self.setups(box)])
-        front.still.rings(now())
-        front.still.span = 0, 0
+        front.stall_detector.rings(now())
+        front.stall_detector.span = 0, 0
         self.assertEqual("plays", (await self.ask(viewer="c")).fate)
 
-    async def test_who_left_the_door_during_a_standstill_is_not_read_before_who_still_waits(self):
-        # 480 of 600 that waited had gone; each was read, refused and written to before the others were looked at.
-        front, took = self.fronts[0], []
-        handle, front.server.handle = front.server.handle, lambda exchange: (took.append(exchange), handle(exchange))
-        asked = [socket.create_connection(front.address) for _ in range(24)]  # nothing of ours runs meanwhile
-        for one in asked:
-            one.sendall(self.post(self.wish()))
-        for one in asked[:20]:
-            one.close()
-        front.still.rang_at -= 30_000
-        for one in asked[20:]:
-            reader, writer = await asyncio.open_connection(sock=one)
+    async def test_clients_that_left_during_a_stall_are_dropped_before_waiting_ones_are_read(self):
+        # Guards against reading, refusing and writing to requests of closed connections before requests of open ones:
+        # after one stop, 480 of 600 waiting clients had left.
+        front, handled = self.fronts[0], []
+        handle, front.server.handle = front.server.handle, lambda exchange: (handled.append(exchange), handle(exchange))
+        sockets = [socket.create_connection(front.address) for _ in range(24)]  # the event loop does not run meanwhile
+        for client in sockets:
+            client.sendall(self.post(self.wish()))
+        for client in sockets[:20]:
+            client.close()
+        front.stall_detector.rang_at -= 30_000
+        for client in sockets[20:]:
+            reader, writer = await asyncio.open_connection(sock=client)
             self.assertIn(b"503", await reader.readline())
             writer.close()
-        self.assertEqual((20, 4), (front.server.gone_at_door, len(took)))
+        self.assertEqual((20, 4), (front.server.gone_at_door, len(handled)))
         self.assertEqual(4, front.counts["turned_away"])
-        front.still.rings(now())
-        front.still.span = 0, 0
+        front.stall_detector.rings(now())
+        front.stall_detector.span = 0, 0
         self.assertEqual("plays", (await self.ask(viewer="c")).fate)
 
-    async def test_a_push_is_judged_by_its_own_packages_patience(self):
+    async def test_a_push_is_admitted_by_the_patience_of_its_own_package(self):
         gate = self.fronts[0].gate
-        self.fronts[0].lag_timer.cancel()  # or it judges anew between the two
-        gate.lag = 15_000  # over the 1.2 s of a push, under the 2 s of who watches the same title
+        self.fronts[0].lag_timer.cancel()  # else the timer would overwrite the lag set below
+        gate.lag = 15_000  # over the 1.2 s of a push, under the 2 s of a viewer of the same title
         self.assertEqual("plays", (await self.ask("only")).fate)
         seen = await self.ask("only", sends=True, patience=1.2)
         self.assertEqual("late", json.loads(seen.body)["why"])
 
-    async def test_a_box_stops_when_the_span_that_it_was_told_is_over(self):
+    async def test_a_box_stops_a_set_up_when_its_stated_patience_ends(self):
         self.boxes[1].box.work = 30_000
         came = asyncio.get_running_loop().create_future()
         wish = self.wish()
@@ -448,14 +453,15 @@
     terms = patient(Rig.terms)
 
     async def test_after_a_cancel_nothing_more_is_sent_and_the_box_is_free(self):
-        # Left by the clock, some clients of a slow machine had gone before the front heard of them.
+        # Clients leave only after all set-ups are out: with a fixed delay, on a slow machine some were gone before the
+        # front had read their requests.
         for box in self.boxes.values():
             box.box.work = 400_000
-        lines = [await asyncio.open_connection(*self.fronts[0].address) for _ in range(12)]
-        for _, writer in lines:
+        connections = [await asyncio.open_connection(*self.fronts[0].address) for _ in range(12)]
+        for _, writer in connections:
             writer.write(self.post(self.wish("one", patience=40.0)))
         await self.until(lambda: sum(len(self.setups(n)) for n in self.boxes) == 12, "12 set-ups are out")
-        for _, writer in lines:
+        for _, writer in connections:
             writer.transport.abort()
         await self.log[0].seen("answered", 12, fate="left")
         await self.until(lambda: not any(b.box.sessions for b in self.boxes.values()), "all boxes are free")
@@ -466,11 +472,13 @@
 
 class Proof(Rig):
     async def test_a_dial_that_fails_proves_that_nothing_ran(self):
-        front, hows = self.fronts[0], []
+        front, outcomes = self.fronts[0], []
         self.boxes[1].die()
-        front.boxes.set_up(1, "/whep/one", "k", [], b"", lambda how, *rest: hows.append(how) or self.log[0].put("came"))
+        front.boxes.set_up(
+            1, "/whep/one", "k", [], b"", lambda outcome, *rest: outcomes.append(outcome) or self.log[0].put("came")
+        )
         await self.log[0].seen("came")
-        self.assertEqual([Outcome.UNREACHED], hows)
+        self.assertEqual([Outcome.UNREACHED], outcomes)
 
 
 def location(reply):
--- a/tests/test_inhand.py
+++ b/tests/test_inhand.py
@@ -5,7 +5,7 @@
 import pathlib
 import signal
 
-from flaxscale.front.failpoints import STEPS, TAKING
+from flaxscale.front.failpoints import SETUP_STEPS, TAKEOVER_STEPS
 from flaxscale.front.members import Sessions
 from flaxscale.lab.players import Wish, headers_of, offer_of, target_of, trace_of
 from flaxscale.rules.promises import promises
@@ -127,8 +127,8 @@
         await self.kill(0)
         await self.until(lambda: len(self.rows("adopted")) == 8, "all are taken over")
         self.assertEqual({"m2"}, {r["manager"] for r in self.rows("adopted")})
-        self.assertNotIn("m1", able.members.takers())
-        self.assertEqual("%s:%d" % able.address, busy.members.another("somebody"))
+        self.assertNotIn("m1", able.members.available_members())
+        self.assertEqual("%s:%d" % able.address, busy.members.alternative_for("somebody"))
         self.fronts.remove(gone)
         for _, writer in held:
             writer.close()
@@ -145,7 +145,7 @@
         self.addCleanup(lambda: [writer.close() for _, writer in self.held])
         for m in (1, 2):  # streams of both to every box stand
             for box in self.fronts[m].boxes.places:
-                self.fronts[m].boxes.keep_stream(box)
+                self.fronts[m].boxes.ensure_stream(box)
             while not all(f"m{m}" in box.streams for box in self.boxes.values()):
                 self.held.append(await self.media(await self.ask("one", front=m)))
         before = {f.name: len(f.viewings) for f in self.fronts[1:]}
@@ -181,7 +181,7 @@
     async def nothing_owed(front):
         """Looked at whenever a box has answered."""
         async with asyncio.timeout(LIMIT):
-            while front.boxes.owed.count():
+            while front.boxes.pending_releases.count():
                 await front.members.call(
                     next(iter(front.boxes.places.values())), "GET", "/manager/sessions?of=none", None, Sessions
                 )
@@ -192,20 +192,20 @@
             adopter.boxes.places[box], "GET", f"/manager/sessions?of={adopter.name}", None, Sessions
         )
         [row] = [row for row in found.sessions if row.key == key]
-        self.assertTrue(await by.tries.claimed(box, row, True))
+        self.assertTrue(await by.retries.claim(box, row, True))
 
     async def test_what_another_claims_meanwhile_is_let_go(self):
         # Its box says "over" on the stream before the grant was read: the adopter took that for nothing of its own,
         # then held for good a viewing that another has.
         async def claimed_by_the_other(adopter, other, box, key):
-            heard, over = asyncio.Event(), adopter.over_early
+            heard, over = asyncio.Event(), adopter.ended_before_answer
 
             def over_early(ended):
                 over(ended)
                 if ended == key:
                     heard.set()
 
-            adopter.over_early = over_early
+            adopter.ended_before_answer = over_early
             await self.claim(other, adopter, box, key)
             await heard.wait()
 
@@ -220,13 +220,13 @@
         adopter, _, _ = await self.adopted(lambda adopter, *_: self.nothing_owed(adopter))
         [vw] = [vw for vw in adopter.viewings.values() if vw.name.startswith("m0.")]
         box, key, count = vw.box, vw.key, len(adopter.viewings)
-        pushed, adopter.boxes.push_now = adopter.boxes.push_now, lambda box: None  # its orders wait
+        pushed, adopter.boxes.flush_orders = adopter.boxes.flush_orders, lambda box: None  # its orders wait
         adopter.runner.client_left(vw.id)
-        adopter.found(box, [key])
+        adopter.unknown_sessions(box, [key])
         jobs = [job for (_, of), job in adopter.members.jobs.items() if of == adopter.name]
         await within(LIMIT, asyncio.gather(*jobs))
-        adopter.boxes.push_now = pushed
-        adopter.boxes.push_now(box)
+        adopter.boxes.flush_orders = pushed
+        adopter.boxes.flush_orders(box)
         await self.nothing_owed(adopter)
         self.assertEqual(count - 1, len(adopter.viewings))
         self.assertEqual(len(self.held) - 1, self.playing())
@@ -268,7 +268,7 @@
         # Asked whether it leaves, a manager that had only begun answered with a fault, and took nothing of its own up.
         members = self.fronts[0].members
         swim, members.shell.swim = members.shell.swim, None
-        self.assertTrue(members.may_take(members.front.name))
+        self.assertTrue(members.may_take_over(members.front.name))
         members.shell.swim = swim
 
 
@@ -348,14 +348,14 @@
         )
 
     async def test_killed_at_each_step(self):
-        for step in STEPS:
+        for step in SETUP_STEPS:
             for sends in (False, True):
                 with self.subTest(step=step, sends=sends):
                     await self.walk(step, "kill", sends)
         await self.ended()
 
     async def test_stopped_at_each_step(self):
-        for step in STEPS:
+        for step in SETUP_STEPS:
             for sends in (False, True):
                 with self.subTest(step=step, sends=sends):
                     await self.walk(step, "stop", sends)
@@ -434,7 +434,7 @@
         # So many that each of two certainly has a share of them: names differ from run to run.
         held, ports = [(await self.plays_at(0))[2] for _ in range(MANY)], {m: self.at(m)[1] for m in range(3)}
         holder = 0
-        for step in TAKING:
+        for step in TAKEOVER_STEPS:
             # Who holds all of it is killed; the next one dies at this step of taking it over; the third has it all.
             next_, last = (holder + 1) % 3, (holder + 2) % 3
             await self.restart(next_, ports[next_], f"{step}:kill")
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -45,7 +45,7 @@
         self.assertEqual(404, (await self.ask("new")).status)
 
     async def test_a_box_ahead_of_its_manager_refuses_what_it_lacks_and_another_plays(self):
-        self.fronts[0].watch.task.cancel()  # this manager hears nothing more
+        self.fronts[0].catalogue_watch.task.cancel()  # this manager hears nothing more
         reply = await self.change(Hold("pair", 1, "gone"))
         for rows in self.box_rows.values():
             await rows.seen("holds", version=reply.version)
@@ -126,7 +126,7 @@
         self.assertEqual("plays", (await self.ask("kept")).fate)
 
     async def test_a_manager_that_refuses_a_version_serves_on_and_who_tells(self):
-        self.fronts[0].sense.packages.pop("push")  # this manager's terms know no such package
+        self.fronts[0].site_terms.packages.pop("push")  # this manager's terms know no such package
         version = self.service.keeper.settled
         await self.change(Put("odd", None, "push", holders=held(1)))
         await self.log[0].seen("catalogue refused")
--- a/tests/test_seats.py
+++ b/tests/test_seats.py
@@ -96,8 +96,8 @@
         for rows in self.box_rows.values():
             rows.waiting.append((watch, asyncio.get_running_loop().create_future()))
         front, log = Front(Sense(self.site, 0, 0, 8), Rows(), "%s:%d" % self.list.address, self.folder.name), None
-        front.lines = front.boxes.log = log = Rows()
-        front.follower.log = log
+        front.logger = front.boxes.log = log = Rows()
+        front.list_follower.log = log
         self.fronts.append(front)
         self.log.append(log)
         await front.start("127.0.0.1", 0)
@@ -112,7 +112,7 @@
         await self.until(lambda: len(front.viewings) == 3, "all three are taken up")
         self.assertEqual("blocked", (await self.ask("cam")).fate)
         self.assertEqual((3, 3), (self.most, self.count()))
-        self.assertFalse(front.members.book.reserved(0).boxes)
+        self.assertFalse(front.members.seat_claims.reserved(0).boxes)
 
     async def test_after_the_lease_the_seats_of_a_box_that_stays_silent_are_free(self):
         leases = self.leases
@@ -121,13 +121,13 @@
             box.begin_lease = lambda *life, begin=begin, box=box: (leases.append((box, *life)), begin(*life))
         front, log = await self.come_back(lambda played_at: {min(played_at)})
         for box in self.boxes.values():  # a stream of the new life neither ends nor begins that lease anew
-            front.boxes.keep_stream(box.box.place.id)
+            front.boxes.ensure_stream(box.box.place.id)
         await self.until(lambda: any(rows.all("over", how="lease") for rows in self.box_rows.values()), "a lease ends")
         self.assertEqual(len(leases), len(set(leases)))
         free = 3 - self.count()
         self.assertTrue(free)
-        front.members.book.until = 0  # as when the span has passed by our clock too
-        front.members.reserve()
+        front.members.seat_claims.until = 0  # as when the span has passed by our clock too
+        front.members.update_reservations()
         self.assertEqual(["plays"] * free + ["blocked"], [(await self.ask("cam")).fate for _ in range(free + 1)])
         self.assertEqual(3, self.most)
 
@@ -152,7 +152,7 @@
         await self.until(lambda: len(front.viewings) == 3, "all three are taken up")
         self.assertTrue(lost[0])
         self.assertEqual((3, 3), (self.count(), sum(front.runner.manager.seats.taken.values())))
-        self.assertEqual({}, front.members.book.claims)
+        self.assertEqual({}, front.members.seat_claims.claims)
 
 
 class TakenOver(Talking):
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -37,7 +37,7 @@
         return json.dumps({**json.loads(self.terms), "managers": 1})
 
     def put(self, text):
-        self.fronts[0].reread = lambda: checked("site.json", shape("site.json", text, Site))
+        self.fronts[0].read_settings = lambda: checked("site.json", shape("site.json", text, Site))
 
     async def load(self, token="ours"):
         return await self.operate("/settings/reload", token)
@@ -56,7 +56,7 @@
 
     async def test_there_and_back_with_set_ups_out_at_both_moments(self):
         front = self.fronts[0]
-        first_mark = front.mark
+        first_mark = front.settings_digest
         playing = [await t for t in await self.asks(3)]
         out = await self.asks(4)
         self.put(self.other())
@@ -86,7 +86,7 @@
         self.assertEqual(probes, sum(len(self.box_rows[n].all("probed")) for n in self.boxes))
 
     async def test_a_bad_file_is_refused_and_service_goes_on(self):
-        mark, out = self.fronts[0].mark, await self.asks(2)
+        mark, out = self.fronts[0].settings_digest, await self.asks(2)
         for text, key, said in (
             (self.other(goal={"whole": "much"}), "goal.whole", "Expected `float`, got `str`"),
             (self.other(allowed={}), "allowed.probes", "true, as fleet.reports is 'probe', expected"),
@@ -98,7 +98,9 @@
             self.assertEqual((422, key), (status, told["key"]))
             self.assertIn(said, told["detail"])
         self.assertEqual(401, (await self.load("theirs"))[0])
-        self.assertEqual((mark, {"loaded": 0, "refused": 4}), (self.fronts[0].mark, self.fronts[0].load_counts))
+        self.assertEqual(
+            (mark, {"loaded": 0, "refused": 4}), (self.fronts[0].settings_digest, self.fronts[0].reload_counts)
+        )
         self.assertEqual(4, len(self.log[0].all("settings refused")))
         self.assertEqual({"plays"}, {(await t).fate for t in out} | {(await self.ask("one")).fate})
 
@@ -121,7 +123,7 @@
         row["titles"] = {"one": row["titles"]["one"], "two": {"first_cell": 0, "cells": 2, "view": "new"}}
         self.put(json.dumps(row))
         self.assertEqual(200, (await self.load())[0])
-        self.assertEqual({"clip": 0, "new": 3}, self.fronts[0].sense.packages)  # numbers in use stay
+        self.assertEqual({"clip": 0, "new": 3}, self.fronts[0].site_terms.packages)  # numbers in use stay
         self.assertEqual(["plays", "plays"], [(await self.ask(title)).fate for title in ("one", "two")])
         self.assertEqual(404, (await self.ask("cam")).status)
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from flaxscale.front.members import Cookie, cookie_in, cookie_out
+from flaxscale.front.members import Cookie, decode_cookie, encode_cookie
 from flaxscale.lab.players import elsewhere, headers_of, offer_of, target_of
 from flaxscale.members import swim
 from flaxscale.recovery.journal import KeyJournal
@@ -64,7 +64,7 @@
         left = []
         for token, status in (("theirs", 401), ("ours", 409)):  # a stranger's; a program that can't be ended so
             self.assertEqual(status, (await self.operate("/drain", token))[0])
-        self.fronts[0].leave = lambda: left.append(asyncio.ensure_future(self.fronts[0].stop(4.0)))
+        self.fronts[0].begin_stop = lambda: left.append(asyncio.ensure_future(self.fronts[0].stop(4.0)))
         seen = [await self.ask("one", front=0) for _ in range(4)]
         media = [await self.media(s) for s in seen]
         address = self.fronts[0].address
@@ -125,7 +125,7 @@
         writer.close()
 
     async def test_a_journal_that_fails_is_said_and_answers_go_on(self):
-        log = self.fronts[0].journal.kept.log
+        log = self.fronts[0].journal.key_journal.log
         disk = log.files
         log.files = FaultyFiles(room=0)
         seen = await self.ask("one", front=0, key="k2")
@@ -200,8 +200,8 @@
     async def test_cookies_are_read_back_and_bad_ones_refused(self):
         offer = endpoint.Offer(False, "one", b"", "u", None, None, None, "tr", 2.5, None, None)
         self.assertEqual(
-            Cookie(1, "m0.1-x", "one", False, 7, 2, 25_000, "tr"), cookie_in(cookie_out("m0.1-x", offer, 7, 2))
+            Cookie(1, "m0.1-x", "one", False, 7, 2, 25_000, "tr"), decode_cookie(encode_cookie("m0.1-x", offer, 7, 2))
         )
         for bad in ("", "%%%", "AAAA"):
             with self.assertRaises(ValueError):
-                cookie_in(bad)
+                decode_cookie(bad)
