--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -27,8 +27,8 @@
         key = first["key"]
         await self.box_rows[1].seen("over", key=key)
         self.assertNotIn(key, self.boxes[1].box.sessions)
-        mine = [r for n in (1, 2, 3) for r in self.setups(n) if r["trace"] == first["trace"]]
-        self.assertEqual(2, len(mine))
+        setups = [r for n in (1, 2, 3) for r in self.setups(n) if r["trace"] == first["trace"]]
+        self.assertEqual(2, len(setups))
         self.assertEqual(0, self.fronts[0].runner.faults)
 
     async def test_an_unsafe_push_whose_answer_is_lost_is_aborted_not_sent_again(self):
@@ -50,14 +50,14 @@
         for what in ("reset_after", "half"):
             for box in (1, 2, 3):
                 self.trouble(box, what, 1 if box == 1 else 0)
-            await self.until_box_1_was_drawn()
+            await self.until_box_1_was_selected()
             lost = self.box_rows[1].all("lost")[-1]
             await self.box_rows[1].seen("over", key=lost["key"])
             self.trouble(1, what, 0)
             self.box_rows[1].rows.clear()
             self.fronts[0].runner.manager.servers[1].shut_until = 0
 
-    async def until_box_1_was_drawn(self):
+    async def until_box_1_was_selected(self):
         for _ in range(40):
             seen = await self.ask()
             self.assertEqual("plays", seen.fate)
@@ -93,8 +93,8 @@
         self.assertEqual((0, {}), (len(front.viewings), front.runner.sessions))
         self.assertEqual(0, sum(len(s.viewings) for s in front.runner.manager.servers.values()))
         for s in seen:
-            gone = await self.player.end(front.address, s.location)
-            self.assertEqual(404, gone.status)
+            deleted = await self.player.end(front.address, s.location)
+            self.assertEqual(404, deleted.status)
 
     async def test_a_box_that_comes_back_with_none_of_its_sessions(self):
         seen = await self.ask("only")
@@ -130,7 +130,7 @@
 
 
 class Clients(Rig):
-    async def test_a_retry_with_the_same_key_joins_its_first_try(self):
+    async def test_a_retry_with_the_same_key_joins_its_first_attempt(self):
         for box in (1, 2, 3):
             self.boxes[box].box.work = 1500
         wish = self.wish(key="k1", viewer="anna")
@@ -144,12 +144,12 @@
         other = await self.raw(self.post(wish, body=sdp.offer(False, "abcdef", "x" * 24, ":".join(["CD"] * 32))))
         self.assertTrue(other.startswith(b"HTTP/1.1 422"))
 
-    async def test_a_retry_without_a_key_is_a_viewing_that_comes_again(self):
+    async def test_a_retry_without_a_key_is_a_second_viewing_marked_as_retry(self):
         wishes = [self.wish(viewer="anna"), self.wish(viewer="anna")]
         replies = await asyncio.gather(*(self.raw(self.post(w)) for w in wishes))
         self.assertEqual(2, len({location(r) for r in replies}))
-        again = [viewing.request.is_retry for viewing in self.fronts[0].runner.sessions.values()]
-        self.assertEqual([False, True], again)
+        retry_flags = [viewing.request.is_retry for viewing in self.fronts[0].runner.sessions.values()]
+        self.assertEqual([False, True], retry_flags)
 
     async def test_a_viewer_who_leaves_in_the_middle_of_a_set_up(self):
         for box in (1, 2, 3):
@@ -186,8 +186,8 @@
         seen = await asyncio.gather(*(self.ask("cam") for _ in range(5)))
         self.assertEqual(["blocked"] * 2 + ["plays"] * 3, sorted(s.fate for s in seen))
         playing = next(s for s in seen if s.fate == "plays")
-        gone = await self.player.end(self.fronts[0].address, playing.location)
-        self.assertEqual(200, gone.status)
+        deleted = await self.player.end(self.fronts[0].address, playing.location)
+        self.assertEqual(200, deleted.status)
         self.assertEqual("plays", (await self.ask("cam")).fate)
         rungs = {s.rung for n in (1, 2, 3) for s in self.boxes[n].box.sessions.values()}
         self.assertGreaterEqual(min(rungs), 1)  # the floor of the package
@@ -209,9 +209,9 @@
         rows = [("Content-Type", "application/trickle-ice-sdpfrag")]
 
         async def patch(extra, body=frag):
-            came = asyncio.get_running_loop().create_future()
-            self.player.pool.send(*front, "PATCH", seen.location, [*rows, *extra], body, came.set_result)
-            return await came
+            answered = asyncio.get_running_loop().create_future()
+            self.player.pool.send(*front, "PATCH", seen.location, [*rows, *extra], body, answered.set_result)
+            return await answered
 
         etag = seen.headers["etag"]
         self.assertEqual(204, (await patch([("If-Match", etag)])).status)
@@ -262,36 +262,36 @@
 
     async def test_invalid_requests_are_refused_with_a_specific_status(self):
         wish = self.wish()
-        good = self.post(wish)
-        offer = good.partition(b"\r\n\r\n")[2]
+        valid_request = self.post(wish)
+        offer = valid_request.partition(b"\r\n\r\n")[2]
         for want, data in (
-            (431, good.replace(b"Host: x", b"Host: x\r\nX-Long: " + b"a" * 10_000)),
-            (413, good.replace(b"Content-Length: %d" % len(offer), b"Content-Length: 9999999")),
-            (415, good.replace(b"application/sdp", b"text/plain")),
-            (406, good.replace(b"Host: x", b"Host: x\r\nAccept: text/html")),
+            (431, valid_request.replace(b"Host: x", b"Host: x\r\nX-Long: " + b"a" * 10_000)),
+            (413, valid_request.replace(b"Content-Length: %d" % len(offer), b"Content-Length: 9999999")),
+            (415, valid_request.replace(b"application/sdp", b"text/plain")),
+            (406, valid_request.replace(b"Host: x", b"Host: x\r\nAccept: text/html")),
             (400, self.post(wish, body=b"v=0\r\nrubbish")),
             (422, self.post(wish, body=offer.replace(b"recvonly", b"sendonly"))),
             (422, self.post(self.wish("two", sends=True), body=offer)),
             (422, self.post(wish, body=offer.replace(b"a=fingerprint", b"a=nothing"))),
-            (405, good.replace(b"POST", b"GET", 1)),
-            (404, good.replace(b"/whep/one", b"/whep/none")),
+            (405, valid_request.replace(b"POST", b"GET", 1)),
+            (404, valid_request.replace(b"/whep/one", b"/whep/none")),
             (404, self.post(self.wish("one", sends=True))),
-            (404, good.replace(b"/whep/one", b"/else/one")),
-            (400, good.replace(b"Host: x\r\n", b"")),
+            (404, valid_request.replace(b"/whep/one", b"/else/one")),
+            (400, valid_request.replace(b"Host: x\r\n", b"")),
             (400, b"no http at all\r\n\r\n"),
-            (417, good.replace(b"Host: x", b"Host: x\r\nExpect: the-moon")),
+            (417, valid_request.replace(b"Host: x", b"Host: x\r\nExpect: the-moon")),
         ):
             status, reply = await self.status(data)
             self.assertEqual(want, status, reply)
             self.assertIn(b"application/problem+json", reply)
             problem = json.loads(reply.partition(b"\r\n\r\n")[2])
             self.assertEqual(want, problem["status"])
-        status, reply = await self.status(good.replace(b"POST", b"BREW", 1))
+        status, reply = await self.status(valid_request.replace(b"POST", b"BREW", 1))
         self.assertEqual(400, status)  # the parser rejects unknown HTTP methods
         self.assertEqual([], self.log[0].all("fault"))
         self.assertEqual(0, sum(len(self.setups(n)) for n in (1, 2, 3)))
 
-    async def test_a_refusal_can_be_read_though_the_offer_goes_on_and_nothing_is_read_without_end(self):
+    async def test_a_refusal_is_readable_while_the_offer_is_sent_and_reading_is_bounded(self):
         offer = b"v" * (2 << 20)
         # guards against a reset that discarded the 413 before it was read
         status, _ = await self.status(self.post(self.wish(), body=offer))
@@ -327,7 +327,7 @@
         reply = await self.raw(data + (b"1000\r\n" + b"v" * 4096 + b"\r\n") * 20)
         self.assertTrue(reply.startswith(b"HTTP/1.1 413"), reply)
 
-    async def test_pipelined_requests_are_answered_in_order_and_continue_is_said(self):
+    async def test_pipelined_requests_are_answered_in_order_and_continue_is_sent(self):
         options = b"OPTIONS /whep/one HTTP/1.1\r\nHost: x\r\n\r\n"
         reply = await self.raw(options * 3 + options.replace(b"whep", b"none") + self.post(self.wish()))
         statuses = [part.split()[0] for part in reply.split(b"HTTP/1.1 ")[1:]]
@@ -341,7 +341,7 @@
         self.assertIn(b"201 Created", await reader.read(-1))
         writer.close()
 
-    async def test_connections_over_the_cap_are_turned_away(self):
+    async def test_connections_over_the_cap_are_refused(self):
         held = [await asyncio.open_connection(*self.fronts[0].address) for _ in range(12)]
         reply = await self.raw(b"")
         self.assertTrue(reply.startswith(b"HTTP/1.1 503"), reply)
@@ -358,8 +358,8 @@
         self.assertIn(b'WWW-Authenticate: Bearer realm="flaxscale"\r\n', none)
         wrong = await self.raw(self.post(self.wish(), [("Authorization", "Bearer wrong")]))
         self.assertIn(b'error="invalid_token"', wrong)
-        good = await self.raw(self.post(self.wish(), [("Authorization", "Bearer right")]))
-        self.assertTrue(good.startswith(b"HTTP/1.1 201"), good)
+        accepted = await self.raw(self.post(self.wish(), [("Authorization", "Bearer right")]))
+        self.assertTrue(accepted.startswith(b"HTTP/1.1 201"), accepted)
         state = b"GET /state HTTP/1.1\r\nHost: x\r\nConnection: close\r\n"
         self.assertTrue((await self.raw(state + b"\r\n")).startswith(b"HTTP/1.1 401"))
         self.assertIn(b'"viewings": 1', await self.raw(state + b"Authorization: Bearer right\r\n\r\n"))
@@ -370,10 +370,10 @@
         writer.close()
 
 
-class Behind(Rig):
+class Overload(Rig):
     terms = Rig.terms.replace('"gate": false', '"gate": true')
 
-    async def test_a_manager_that_is_behind_refuses_at_once_and_says_how_long(self):
+    async def test_an_overloaded_manager_refuses_at_once_and_states_how_long(self):
         gate = self.fronts[0].gate
         self.assertEqual("plays", (await self.ask(viewer="a")).fate)
         gate.rate, gate.tokens, gate.token_at = 20.0, 0.0, 1 << 60  # no further token becomes available
@@ -434,7 +434,7 @@
 
     async def test_a_box_stops_a_set_up_when_its_stated_patience_ends(self):
         self.boxes[1].box.work = 30_000
-        came = asyncio.get_running_loop().create_future()
+        answered = asyncio.get_running_loop().create_future()
         wish = self.wish()
         self.player.pool.send(
             *self.boxes[1].address,
@@ -442,9 +442,9 @@
             "/whep/one",
             [*headers_of(wish), ("Idempotency-Key", '"k"'), ("Flaxscale-Patience", "60")],
             offer_of(wish),
-            came.set_result,
+            answered.set_result,
         )
-        answer = await came
+        answer = await answered
         self.assertEqual((504, "no"), (answer.status, answer.headers["flaxscale-ran"]))
         self.assertEqual(0, len(self.boxes[1].box.sessions))
 
@@ -470,7 +470,7 @@
         self.assertEqual(0, len(self.fronts[0].runner.sessions))
 
 
-class Proof(Rig):
+class FailedDial(Rig):
     async def test_a_dial_that_fails_proves_that_nothing_ran(self):
         front, outcomes = self.fronts[0], []
         self.boxes[1].die()
