--- a/tests/test_inhand.py
+++ b/tests/test_inhand.py
@@ -5,8 +5,8 @@
 import pathlib
 import signal
 
+from flaxscale.front.failpoints import SETUP_STEPS, TAKEOVER_STEPS
 from flaxscale.front.members import Sessions
-from flaxscale.front.steps import STEPS, TAKING
 from flaxscale.lab.players import Wish, headers_of, offer_of, target_of, trace_of
 from flaxscale.rules.promises import promises
 from tests.rig import Talking, within
@@ -129,8 +129,8 @@
         await self.kill(0)
         await self.until(lambda: len(self.rows("adopted")) == 8, "all are taken over")
         self.assertEqual({"m2"}, {r["manager"] for r in self.rows("adopted")})
-        self.assertNotIn("m1", able.members.takers())
-        self.assertEqual("%s:%d" % able.address, overloaded.members.another("somebody"))
+        self.assertNotIn("m1", able.members.available_members())
+        self.assertEqual("%s:%d" % able.address, overloaded.members.alternative_for("somebody"))
         self.fronts.remove(gone)
         for _, writer in held:
             writer.close()
@@ -147,7 +147,7 @@
         self.addCleanup(lambda: [writer.close() for _, writer in self.held])
         for m in (1, 2):  # both have streams to every box
             for box in self.fronts[m].boxes.places:
-                self.fronts[m].boxes.keep_stream(box)
+                self.fronts[m].boxes.ensure_stream(box)
             while not all(f"m{m}" in box.streams for box in self.boxes.values()):
                 self.held.append(await self.media(await self.ask("one", front=m)))
         before = {f.name: len(f.viewings) for f in self.fronts[1:]}
@@ -183,7 +183,7 @@
     async def until_no_orders(front):
         """Waits until no orders are pending; checks again after each answer of a box."""
         async with asyncio.timeout(LIMIT):
-            while front.boxes.owed.count():
+            while front.boxes.pending_releases.count():
                 await front.members.call(
                     next(iter(front.boxes.places.values())), "GET", "/manager/sessions?of=none", None, Sessions
                 )
@@ -194,20 +194,20 @@
             adopter.boxes.places[box], "GET", f"/manager/sessions?of={adopter.name}", None, Sessions
         )
         [row] = [row for row in found.sessions if row.key == key]
-        self.assertTrue(await by.tries.claimed(box, row, True))
+        self.assertTrue(await by.retries.claim(box, row, True))
 
     async def test_a_session_that_another_manager_claims_meanwhile_is_given_up(self):
         # The box sends "over" on the stream before the adopter has read the grant. The adopter must not
         # ignore it as a session that is not its own, and then keep a viewing that another manager has.
         async def claim_by_other(adopter, other, box, key):
-            ended_early, over_early_before = asyncio.Event(), adopter.over_early
+            ended_early, over_early_before = asyncio.Event(), adopter.ended_before_answer
 
             def over_early(ended):
                 over_early_before(ended)
                 if ended == key:
                     ended_early.set()
 
-            adopter.over_early = over_early
+            adopter.ended_before_answer = over_early
             await self.claim(other, adopter, box, key)
             await ended_early.wait()
 
@@ -222,13 +222,16 @@
         adopter, _, _ = await self.adopted(lambda adopter, *_: self.until_no_orders(adopter))
         [viewing] = [viewing for viewing in adopter.viewings.values() if viewing.name.startswith("m0.")]
         box, key, count = viewing.box, viewing.key, len(adopter.viewings)
-        push_now, adopter.boxes.push_now = adopter.boxes.push_now, lambda box: None  # orders to the box wait
+        flush_orders, adopter.boxes.flush_orders = (
+            adopter.boxes.flush_orders,
+            lambda box: None,
+        )  # orders to the box wait
         adopter.runner.client_left(viewing.id)
-        adopter.found(box, [key])
+        adopter.unknown_sessions(box, [key])
         jobs = [job for (_, of), job in adopter.members.jobs.items() if of == adopter.name]
         await within(LIMIT, asyncio.gather(*jobs))
-        adopter.boxes.push_now = push_now
-        adopter.boxes.push_now(box)
+        adopter.boxes.flush_orders = flush_orders
+        adopter.boxes.flush_orders(box)
         await self.until_no_orders(adopter)
         self.assertEqual(count - 1, len(adopter.viewings))
         self.assertEqual(len(self.held) - 1, self.playing())
@@ -271,7 +274,7 @@
         # A manager that has just started is asked whether it leaves; it must not fail and leave its own sessions alone.
         members = self.fronts[0].members
         swim, members.shell.swim = members.shell.swim, None
-        self.assertTrue(members.may_take(members.front.name))
+        self.assertTrue(members.may_take_over(members.front.name))
         members.shell.swim = swim
 
 
@@ -351,14 +354,14 @@
         )
 
     async def test_killed_at_each_step(self):
-        for step in STEPS:
+        for step in SETUP_STEPS:
             for sends in (False, True):
                 with self.subTest(step=step, sends=sends):
                     await self.interrupt(step, "kill", sends)
         await self.end_and_check()
 
     async def test_stopped_at_each_step(self):
-        for step in STEPS:
+        for step in SETUP_STEPS:
             for sends in (False, True):
                 with self.subTest(step=step, sends=sends):
                     await self.interrupt(step, "stop", sends)
@@ -440,7 +443,7 @@
             {m: self.at(m)[1] for m in range(3)},
         )
         holder = 0
-        for step in TAKING:
+        for step in TAKEOVER_STEPS:
             # The holder is killed, the next manager dies at this step of the take-over, and the third one gets all.
             successor, last = (holder + 1) % 3, (holder + 2) % 3
             await self.restart(successor, ports[successor], f"{step}:kill")
