--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -73,7 +73,7 @@
 
     def list_server(self, time, n, followed=True):
         now = time + self.offset(n)
-        started = StartTimes().of(SERVER, SERVER_STARTED_AT / 10, now, followed)
+        started = StartTimes().start_time(SERVER, SERVER_STARTED_AT / 10, now, followed)
         row = interface.ServerEntry(SERVER, 0, 0, 0, 1e6, started, interface.ServerStatus.READY)
         self.handle(time, n, interface.ServerListUpdate(interface.ListKind.DELTA, (row,)))
 
