--- a/bench/catalogue.py
+++ b/bench/catalogue.py
@@ -18,7 +18,7 @@
 
 from bench.front import Bench, cpu, machine, quantile, site, spread
 from flaxscale.catalogue.files import write_parquet
-from flaxscale.catalogue.plan import Question, Shelf, carried, plan, proportional
+from flaxscale.catalogue.plan import BoxCapacity, PlanRequest, carried_value, plan, proportional_copies
 from flaxscale.catalogue.state import HOLDING, Put, Title
 from flaxscale.catalogued.client import Client
 from flaxscale.cli import service
@@ -305,8 +305,8 @@
         kb = site_.ladder.kb[min(package.top, len(site_.ladder.kb) - 1)] * package.scale
         demand[t] = day.demand.rate * weight / total * length * kb
         value[t] = package.value / package.scale
-    boxes = tuple(Shelf(n, b.link_kb, b.cell % site_.fleet.racks, 9) for n, b in enumerate(day.boxes))
-    return Question(boxes, {r: site_.fleet.uplink_kb for r in range(site_.fleet.racks)}, demand, value, 20, 3)
+    boxes = tuple(BoxCapacity(n, b.link_kb, b.cell % site_.fleet.racks, 9) for n, b in enumerate(day.boxes))
+    return PlanRequest(boxes, {r: site_.fleet.uplink_kb for r in range(site_.fleet.racks)}, demand, value, 20, 3)
 
 
 @main.command()
@@ -332,7 +332,7 @@
             t: (now_held[t] | {b for x, b in found.add if x == t}) - {b for x, b in found.drop if x == t}
             for t in now_held
         }
-        ways = {"as they are": now_held, "proportional": proportional(q, now_held), "plan": planned}
+        ways = {"as they are": now_held, "proportional": proportional_copies(q, now_held), "plan": planned}
         results = {way: [] for way in ways}
 
         async def together(seed):
@@ -346,7 +346,7 @@
             for way, figure in zip(ways, service.run(together(seed))):
                 results[way].append(figure)
         for way, holders in ways.items():
-            base, surge = carried(q, holders)
+            base, surge = carried_value(q, holders)
             copies = sum(len(b) for b in holders.values())
             click.echo(
                 f"  {name} demand, {way}: {copies} copies, can carry {base:.3f} (surge {surge:.3f}); service "
--- a/bench/deaths.py
+++ b/bench/deaths.py
@@ -23,7 +23,7 @@
 from flaxscale.cli import service
 from flaxscale.lab.players import Player, Wish, trace_of
 from flaxscale.lab.records import Recorder
-from flaxscale.site.load import evaluate
+from flaxscale.site.load import evaluate_jsonnet
 
 ROOT = pathlib.Path(__file__).parent.parent
 SLOTS, PLAY_S, KILL_S, LENGTH_S, AWAY_S = 8, 2.0, 6, 18, 6
@@ -243,7 +243,7 @@
         used = sum(cpu(pid) for _, pid in fronts) - used
         return took, used / max(1, len(took[True]) + len(took[False])) * 1e6
 
-    token = json.loads(evaluate(str(ROOT / "examples" / "boats.jsonnet")))["front"]["tokens"][0]
+    token = json.loads(evaluate_jsonnet(str(ROOT / "examples" / "boats.jsonnet")))["front"]["tokens"][0]
     player = Player(Recorder(), token)
 
     async def both(folder):
--- a/flaxscale/catalogue/digest.py
+++ b/flaxscale/catalogue/digest.py
@@ -8,23 +8,23 @@
 import msgspec
 import xxhash
 
-SPACE = 1 << 64
+MODULUS = 1 << 64
 
 
-def one(title):
+def title_hash(title):
     return xxhash.xxh3_64_intdigest(msgspec.msgpack.encode(title))
 
 
-def of(titles):
+def total(titles):
     """The sum of titles, each counted once."""
-    return sum(one(t) for t in titles) % SPACE
+    return sum(title_hash(t) for t in titles) % MODULUS
 
 
-def moved(total, titles, changed):
+def updated(total, titles, changed):
     """The sum after a change. titles: as they were. changed: {name: Title, or None where it was dropped}."""
     for name, title in changed.items():
         if (before := titles.get(name)) is not None:
-            total -= one(before)
+            total -= title_hash(before)
         if title is not None:
-            total += one(title)
-    return total % SPACE
+            total += title_hash(title)
+    return total % MODULUS
--- a/flaxscale/catalogue/keep.py
+++ b/flaxscale/catalogue/durable.py
@@ -8,8 +8,8 @@
 HISTORY = 20_000  # versions that a watcher may have been away for and still get as deltas
 
 
-class Keeper:
-    """One writer. stage() any number of changes, then settle(): what it returned from is durable."""
+class DurableCatalogue:
+    """One writer. stage() any number of changes, then commit(): what it returned from is durable."""
 
     def __init__(self, files, frame):
         self.log = Log(files)
@@ -41,7 +41,7 @@
                 del self.done[next(iter(self.done))]
 
     def stage(self, ops, expect=None, in_use=None, force=False, who="", why="", id=""):
-        """Applies a change in memory; the Delta. Nobody may hear of it before settle()."""
+        """Applies a change in memory; the Delta. Nobody may hear of it before commit()."""
         before = {op.name: self.now.titles.get(op.name) for op in ops}
         delta = self.now.apply(ops, expect, in_use, force)
         if not delta.titles:
@@ -69,7 +69,7 @@
         self.staged += 1
         return delta
 
-    def settle(self):
+    def commit(self):
         """Makes all that was staged durable; returns the version that is. OSError: nothing of it may be told."""
         self.log.commit()
         self.settled, self.staged, self.floor = self.now.version, 0, self.now.floor
--- a/flaxscale/catalogue/files.py
+++ b/flaxscale/catalogue/files.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ..site.load import SiteError, evaluate, shape
+from ..site.load import SiteError, decode_as, evaluate_jsonnet
 from .state import HOLDING, Drop, Op, Put, put_of
 
 
@@ -28,7 +28,7 @@
     """A list of Puts. SiteError names file and key, or row and column of a Parquet file."""
     if pathlib.Path(file).suffix == ".parquet":
         return read_parquet(file)
-    rows = shape(file, evaluate(file), CatalogueFile).titles
+    rows = decode_as(file, evaluate_jsonnet(file), CatalogueFile).titles
     return [
         Put(
             name,
@@ -112,7 +112,7 @@
 
 def read_ops(file):
     """A change set: a Jsonnet file with a list of operations, as docs/operators/catalogue.md shows them."""
-    return shape(file, evaluate(file), list[Op])
+    return decode_as(file, evaluate_jsonnet(file), list[Op])
 
 
 def ops_to(titles, puts, keep=False):
--- a/flaxscale/catalogue/plan.py
+++ b/flaxscale/catalogue/plan.py
@@ -20,7 +20,7 @@
 MOVE_COST = 1e-4  # of the whole demand's value, for each copy added; a tenth of it for one dropped
 
 
-class Shelf(NamedTuple):
+class BoxCapacity(NamedTuple):
     """One box as the planner sees it."""
 
     id: int
@@ -29,8 +29,8 @@
     room: int  # titles that it can hold
 
 
-class Question(NamedTuple):
-    boxes: tuple  # Shelf
+class PlanRequest(NamedTuple):
+    boxes: tuple  # BoxCapacity
     uplinks: dict  # rack: kB a second
     demand: dict  # title: kB a second
     value: dict  # title: value of a kB served; 1 if left out
@@ -183,7 +183,7 @@
     return Plan(add, drop, before, after, before_more, after_more, missed, took)
 
 
-def proportional(question, held):
+def proportional_copies(question, held):
     """The baseline: copies in proportion to demand, on the boxes with most room left; {title: boxes}."""
     titles = sorted((t for t, kb in question.demand.items() if kb > 0), key=lambda t: (-question.demand[t], t))
     slots = sum(b.room for b in question.boxes)
@@ -208,7 +208,7 @@
     return {**{t: set(b) for t, b in held.items()}, **out}
 
 
-def carried(question, held):
+def carried_value(question, held):
     """(share of the demand's value that these holders can carry, the same of the surge's)."""
     titles = sorted(t for t, kb in question.demand.items() if kb > 0)
     return solve(question, held, titles, True, 20.0, 0.005)[:2]
--- a/flaxscale/catalogue/spread.py
+++ b/flaxscale/catalogue/replication.py
@@ -14,7 +14,7 @@
 AHEAD = 64  # messages that a watcher may be behind with its acknowledgements
 
 
-class Whole(NamedTuple):
+class SnapshotPart(NamedTuple):
     version: int
     titles: tuple
     first: bool
@@ -31,10 +31,10 @@
         self.acked, self.refused, self.why = version if epoch == ours else None, None, ""
         self.parts, self.unacked, self.in_use, self.heard_at = None, 0, {}, None
 
-    def next(self, keeper):
+    def next_message(self, keeper):
         """What to send now. None: nothing, or it has enough in its hands."""
         if self.parts is not None:
-            return self.part()
+            return self.next_part()
         if self.unacked >= AHEAD or (self.refused is not None and keeper.settled <= self.refused):
             return None
         deltas = keeper.since(self.sent) if self.sent is not None and self.refused is None else None
@@ -47,21 +47,21 @@
             )
             parts = [titles[n : n + PART] for n in range(0, len(titles), PART)] or [[]]
             self.parts = keeper.settled, parts, 0, keeper.floor
-            return self.part()
+            return self.next_part()
         if not deltas:
             return None
         self.sent = deltas[0].version
         self.unacked += 1
         return deltas[0]
 
-    def part(self):
+    def next_part(self):
         version, parts, n, floor = self.parts
         last = n + 1 == len(parts)
         self.parts = None if last else (version, parts, n + 1, floor)
         if last:
             self.sent = version
             self.unacked += 1
-        return Whole(version, tuple(parts[n]), n == 0, last, floor)
+        return SnapshotPart(version, tuple(parts[n]), n == 0, last, floor)
 
     def ack(self, version):
         self.unacked = max(0, self.unacked - 1)
@@ -76,25 +76,26 @@
 class Follower:
     """The watcher's own side: takes messages in any order and from any service, and is at one version always.
 
-    take() returns the mapping of changed titles when the version moved, None when nothing did; Gap when only a new
-    stream can help; a ValueError from check() means the version is refused and the last good one kept.
+    apply_delta() and apply_part() return the changed titles when the version moved and None when it did not. They
+    raise VersionGap when only a new stream can help, and ValueError from check() when the version is refused; the last
+    good version is then kept.
     """
 
     def __init__(self, check=lambda titles: None):
         self.check, self.epoch, self.version, self.titles, self.parts = check, None, None, {}, None
-        self.floor, self.sum = 0, 0  # the lowest version that may be acted on; of all titles, to compare by
+        self.floor, self.digest = 0, 0  # the lowest version that may be acted on; of all titles, to compare by
 
     def load(self, epoch, version, titles, floor=0):
         self.epoch, self.version, self.titles, self.floor = epoch, version, titles, floor
-        self.sum = digest.of(titles.values())
+        self.digest = digest.total(titles.values())
 
-    def delta(self, epoch, delta):
+    def apply_delta(self, epoch, delta):
         if epoch != self.epoch or self.version is None or delta.version > self.version + 1:
-            raise Gap(f"version {delta.version} of {epoch} on {self.version} of {self.epoch}")
+            raise VersionGap(f"version {delta.version} of {epoch} on {self.version} of {self.epoch}")
         if delta.version <= self.version:
             return None  # told again
         self.check(delta.titles)
-        self.sum, self.floor = digest.moved(self.sum, self.titles, delta.titles), max(self.floor, delta.floor)
+        self.digest, self.floor = digest.updated(self.digest, self.titles, delta.titles), max(self.floor, delta.floor)
         for name, title in delta.titles.items():
             if title is None:
                 self.titles.pop(name, None)
@@ -103,15 +104,15 @@
         self.version = delta.version
         return delta.titles
 
-    def whole(self, epoch, message):
+    def apply_part(self, epoch, message):
         """A part of a whole; it counts when the last part is there."""
         if message.first:
             self.parts = epoch, message.version, {}, [0]
         if self.parts is None or self.parts[:2] != (epoch, message.version):
             self.parts = None
-            raise Gap(f"a part of version {message.version} without its beginning")
+            raise VersionGap(f"a part of version {message.version} without its beginning")
         self.parts[2].update((t.name, t) for t in message.titles)
-        self.parts[3][0] += digest.of(message.titles)  # by part, so that a large one holds up nothing
+        self.parts[3][0] += digest.total(message.titles)  # by part, so that a large one holds up nothing
         if not message.last:
             return None
         (_, version, titles, (total,)), self.parts = self.parts, None
@@ -120,11 +121,11 @@
         self.check(titles)
         old, self.titles = self.titles, titles
         self.floor = max(self.floor, message.floor) if epoch == self.epoch else message.floor
-        self.epoch, self.version, self.sum = epoch, version, total % digest.SPACE
+        self.epoch, self.version, self.digest = epoch, version, total % digest.MODULUS
         changed = {name: None for name in old.keys() - titles.keys()}
         changed.update((name, t) for name, t in titles.items() if old.get(name) != t)
         return changed
 
 
-class Gap(Exception):
+class VersionGap(Exception):
     """Something between is missing."""
--- a/flaxscale/catalogue/state.py
+++ b/flaxscale/catalogue/state.py
@@ -28,7 +28,7 @@
     seats: tuple[tuple[str, int], ...]  # by package, where they differ from the package's own
     holders: tuple[tuple[int, str], ...]  # (box, state), by box
 
-    def may_take(self):
+    def available_boxes(self):
         """Boxes to which new set-ups may go."""
         return frozenset(box for box, state in self.holders if state == HOLDING)
 
@@ -77,7 +77,7 @@
 Op = Put | Drop | Hold | Seats | Rungs
 
 
-class Frame(NamedTuple):
+class SiteLimits(NamedTuple):
     """What of the site a catalogue must fit: floors and seats by package, and the number of rungs."""
 
     floors: dict
@@ -104,7 +104,7 @@
         self.faults = faults
 
 
-class Behind(Exception):
+class VersionConflict(Exception):
     """Another change came first: the change set was made for another version."""
 
     def __init__(self, expected, version):
@@ -127,13 +127,13 @@
         self.frame, self.version, self.titles, self.floor = frame, version, dict(titles or {}), floor
 
     def apply(self, ops, expect=None, in_use=None, force=False):
-        """The Delta of a change set. Raises Behind or Refused.
+        """The Delta of a change set. Raises VersionConflict or Refused.
 
         expect: the version it was made for. in_use: {(title, package): seats in use at the manager that uses most};
         seats are not lowered under it unless forced.
         """
         if expect is not None and expect != self.version:
-            raise Behind(expect, self.version)
+            raise VersionConflict(expect, self.version)
         if not ops:
             raise Refused([Fault(-1, "", "an empty change set")])
         if len(ops) > OPS_LIMIT:
--- a/flaxscale/catalogue/view.py
+++ b/flaxscale/catalogue/title_lookup.py
@@ -27,7 +27,7 @@
     return xxhash.xxh3_64_intdigest(name.encode())
 
 
-class FileView:
+class SiteTitles:
     """Titles from the site file alone: cells in a row hold them, and nothing changes."""
 
     def __init__(self, site):
@@ -36,23 +36,23 @@
             for name, row in site.titles.items()
         }
 
-    def look(self, name, now):
+    def find(self, name, now):
         return self.entries.get(name)
 
-    def news(self, name):
+    def pending_update(self, name):
         return None
 
     def version(self):
         return None
 
 
-class LiveView:
-    """Titles by a Follower. news() is the event that the module must hear before it is asked for a title."""
+class CatalogueTitles:
+    """Titles by a Follower. pending_update() is the event that the module must hear before it is asked for a title."""
 
     def __init__(self, sense, follower):
-        self.packages, self.follower, self.told, self.asked_at = sense.packages, follower, {}, {}
+        self.packages, self.follower, self.announced, self.asked_at = sense.packages, follower, {}, {}
 
-    def look(self, name, now):
+    def find(self, name, now):
         title = self.follower.titles.get(name)
         if title is None:
             return None
@@ -64,30 +64,30 @@
             return interface.TitleUpdate(title_id(name), frozenset(), 0, 0, ())
         return interface.TitleUpdate(
             title_id(name),
-            title.may_take(),
+            title.available_boxes(),
             title.low,
             title.top,
             tuple((self.packages[p], n) for p, n in title.seats if p in self.packages),
         )
 
-    def news(self, name):
+    def pending_update(self, name):
         """The event to tell now, or None where the module knows this title as it is."""
         title = self.follower.titles.get(name)
-        if name in self.told and self.told[name] is title:
+        if name in self.announced and self.announced[name] is title:
             return None
-        self.told[name] = title
+        self.announced[name] = title
         return self.event(name, title)
 
-    def changed(self, titles):
+    def pending_updates(self, titles):
         """Events for the changed titles that the module knows."""
-        return [event for name in titles if name in self.told and (event := self.news(name)) is not None]
+        return [event for name in titles if name in self.announced and (event := self.pending_update(name)) is not None]
 
-    def forget(self, now, held):
+    def forget_unused(self, now, held):
         """Events that let the module forget what nobody asks for. held: ids of titles with viewings."""
         out = []
         for name in [n for n, at in self.asked_at.items() if now - at > FORGET and title_id(n) not in held]:
             del self.asked_at[name]
-            if self.told.pop(name, None) is not None:
+            if self.announced.pop(name, None) is not None:
                 out.append(interface.TitleUpdate(title_id(name), None, 0, 0, ()))
         return out
 
--- a/flaxscale/catalogue/wire.py
+++ b/flaxscale/catalogue/wire.py
@@ -1,7 +1,7 @@
 """Titles and messages as protobuf, and back."""
 
 from ..proto import catalogue_pb2 as pb
-from .spread import Whole
+from .replication import SnapshotPart
 from .state import Delta, Title
 
 
@@ -64,10 +64,10 @@
 
 
 def reply_in(reply):
-    """A Delta or a Whole."""
+    """A Delta or a SnapshotPart."""
     if reply.WhichOneof("what") == "delta":
         titles = {t.name: title_in(t) for t in reply.delta.titles}
         titles.update(dict.fromkeys(reply.delta.dropped))
         return Delta(reply.delta.version, titles, reply.delta.floor)
     part = reply.part
-    return Whole(part.version, tuple(title_in(t) for t in part.titles), part.first, part.last, part.floor)
+    return SnapshotPart(part.version, tuple(title_in(t) for t in part.titles), part.first, part.last, part.floor)
--- a/flaxscale/catalogued/client.py
+++ b/flaxscale/catalogued/client.py
@@ -37,12 +37,12 @@
     async def __aexit__(self, *_):
         await self.channel.close()
 
-    async def call(self, method, request, timeout=30.0, stub=None, again_s=0.0):
+    async def call(self, method, request, timeout=30.0, stub=None, retry_for_s=0.0):
         """One call, of the catalogue or, with stub=self.peaks, of announced peaks. ServiceError with the reason.
 
-        again_s: where no answer came for as long, it is asked again; only what has an id, or changes nothing, may be.
+        retry_for_s: how long a call without an answer is repeated. Only for calls that have an id or change nothing.
         """
-        until = now() + round(again_s * 10_000)
+        until = now() + round(retry_for_s * 10_000)
         while True:
             try:
                 return await getattr(stub or self.stub, method)(request, timeout=timeout)
@@ -52,7 +52,7 @@
                     continue
                 raise ServiceError(f"{self.address}: {bad.code().name}: {bad.details()}") from None
 
-    async def change(self, ops, expect=None, force=False, dry=False, who="", why="", id=None, again_s=0.0):
+    async def change(self, ops, expect=None, force=False, dry=False, who="", why="", id=None, retry_for_s=0.0):
         """The ChangeReply. ops: operations of catalogue.state. id: the change's own; drawn where it is left out."""
         return await self.call(
             "Change",
@@ -65,7 +65,7 @@
                 why=why,
                 id="" if dry else id or new_id(),
             ),
-            again_s=again_s,
+            retry_for_s=retry_for_s,
         )
 
     async def get(self, version=None, titles=()):
--- a/flaxscale/catalogued/leases.py
+++ b/flaxscale/catalogued/leases.py
@@ -18,7 +18,7 @@
 from ..serve.clock import now
 from ..store.log import Log
 from ..store.shapes import decoded
-from .resuming import Resuming
+from .store_retry import StoreRetry
 
 GATHER_S = 0.002
 SNAPSHOT_EVERY = 2_000
@@ -50,8 +50,8 @@
             self.take(decoded(data, Kept, SHAPE, "state of leases"))
         self.granter.era(time.time())
         self.opens = self.granter.opened
-        self.settling, self.waiting, self.broken = None, [], None
-        self.resuming = Resuming(self.resume, self.resumed)
+        self.commit_timer, self.waiting, self.broken = None, [], None
+        self.resuming = StoreRetry(self.resume, self.resumed)
         if record:
             record.put("leases", opens=self.opens - now())
             for task in tasks.values():
@@ -78,12 +78,12 @@
             done.set_exception(self.broken)
             return done
         self.waiting.append(done)
-        if self.settling is None:
-            self.settling = asyncio.get_running_loop().call_later(GATHER_S, self.settle)
+        if self.commit_timer is None:
+            self.commit_timer = asyncio.get_running_loop().call_later(GATHER_S, self.commit)
         return done
 
-    def settle(self):
-        self.settling, waiting, self.waiting = None, self.waiting, []
+    def commit(self):
+        self.commit_timer, waiting, self.waiting = None, self.waiting, []
         try:
             self.store.commit()
             if self.store.since_snapshot >= SNAPSHOT_EVERY:
@@ -119,7 +119,7 @@
 
     # From a watcher's stream
 
-    async def hear(self, said, tell):
+    async def handle(self, said, tell):
         """All that one message asks for. tell(WatchReply) for each answer, once what it says is durable."""
         if self.broken is not None:  # who holds goes on until its span ends; nothing is granted or done here
             for ask in said.leases:
--- a/flaxscale/catalogued/peakwatch.py
+++ b/flaxscale/catalogued/peak_watch.py
@@ -10,7 +10,7 @@
 from ..proto import peaks_pb2_grpc as pb_grpc
 from ..store.latest import Latest
 from ..store.log import StoreError
-from .streams import channel_to, come_back, ended
+from .streams import cancel_and_wait, channel_to, come_back
 
 SNAPSHOT_EVERY = 50
 
@@ -77,7 +77,7 @@
             self.keep()
         return pb.WatchRequest(name=self.name, ack=reply.version)
 
-    async def tell(self, seen):
+    async def report_seen(self, seen):
         """What was seen come: [(name, came, due, kB a second kept)]. Lost where the stream is down."""
         if self.call is not None and seen:
             try:
@@ -90,4 +90,4 @@
                 pass  # the stream is just ending; the next one tells it anew
 
     async def stop(self):
-        await ended(self.task)
+        await cancel_and_wait(self.task)
--- a/flaxscale/catalogued/peaks.py
+++ b/flaxscale/catalogued/peaks.py
@@ -6,7 +6,7 @@
 import grpc
 import msgspec
 
-from ..catalogue.state import Behind
+from ..catalogue.state import VersionConflict
 from ..peaks import wire
 from ..peaks.book import Frame, PeakBook, Refused, decode, encode
 from ..proto import peaks_pb2 as pb
@@ -14,7 +14,7 @@
 from ..serve.clock import now
 from ..serve.limit import within
 from ..store.latest import Latest
-from .resuming import Resuming
+from .store_retry import StoreRetry
 from .streams import first_of, hear_all
 
 BEAT_S = 2.0  # the service's clock is told this often where nothing else is
@@ -32,12 +32,12 @@
 
 class PeakService(pb_grpc.PeaksServicer):
     def __init__(self, files, epoch, frame, titles, log, wall=time.time):
-        """frame: catalogue.state.Frame of the site. titles(): what the catalogue has now. wall(): Unix seconds."""
+        """frame: catalogue.state.SiteLimits of the site. titles(): what the catalogue has now. wall(): Unix seconds."""
         self.store, self.epoch, self.log, self.wall = Latest(files, SNAPSHOT_EVERY), epoch, log, wall
         self.rungs, self.packages, self.titles = frame.rungs, tuple(frame.floors), titles
         self.book = PeakBook() if self.store.kept is None else decode(self.store.kept)[1]
         self.managers, self.broken, self.stopped = {}, None, False
-        self.resuming = Resuming(self.resume, self.resumed)
+        self.resuming = StoreRetry(self.resume, self.resumed)
 
     def stop(self):
         self.stopped = True
@@ -70,7 +70,7 @@
                     book.cancel(request.cancel, *rest)
                 case _:
                     raise Refused(["nothing to announce, change or cancel"])
-        except Behind as late:
+        except VersionConflict as late:
             return pb.ChangeReply(version=self.book.version, behind=str(late))
         except Refused as no:
             return pb.ChangeReply(version=self.book.version, faults=no.reasons[:100])
@@ -107,8 +107,8 @@
             return
         m = self.managers[first.name] = Manager(first.name)
         sent = first.version if first.epoch == self.epoch else None
-        self.hear(m, first)
-        reader = asyncio.ensure_future(hear_all(context, lambda said: self.hear(m, said), m.wake))
+        self.receive(m, first)
+        reader = asyncio.ensure_future(hear_all(context, lambda said: self.receive(m, said), m.wake))
         try:
             while not self.stopped and not reader.done() and self.managers.get(first.name) is m:
                 m.wake.clear()
@@ -131,7 +131,7 @@
             reader.cancel()
             m.up = False
 
-    def hear(self, m, said):
+    def receive(self, m, said):
         m.heard_at = now()
         if said.WhichOneof("says") == "ack":
             m.acked = said.ack
--- a/flaxscale/catalogued/service.py
+++ b/flaxscale/catalogued/service.py
@@ -1,4 +1,4 @@
-"""The catalogue service: gRPC over a Keeper. Changes are gathered for a moment, made durable together, then told."""
+"""The catalogue service: gRPC over a DurableCatalogue. Changes are made durable in groups and then published."""
 
 import asyncio
 import secrets
@@ -8,9 +8,9 @@
 import msgspec
 
 from ..catalogue import wire
-from ..catalogue.keep import Keeper
-from ..catalogue.spread import PART, Watcher, Whole
-from ..catalogue.state import Behind, Delta, Op, Refused
+from ..catalogue.durable import DurableCatalogue
+from ..catalogue.replication import PART, SnapshotPart, Watcher
+from ..catalogue.state import Delta, Op, Refused, VersionConflict
 from ..leases import duties
 from ..proto import catalogue_pb2 as pb
 from ..proto import catalogue_pb2_grpc as pb_grpc
@@ -20,7 +20,7 @@
 from ..versions import floor as floors
 from .leases import LeaseService
 from .peaks import ID_LIMIT, PeakService
-from .resuming import Resuming
+from .store_retry import StoreRetry
 from .streams import first_of, hear_all
 
 GATHER_S = 0.002  # changes that come within this become durable with one sync
@@ -29,7 +29,7 @@
 LIVING = 10  # times behind_s: a manager not heard for so long is no longer counted as living
 
 
-class Service(pb_grpc.CatalogueServicer):
+class CatalogueService(pb_grpc.CatalogueServicer):
     def __init__(self, files, frame, log, record=None, peak_files=None, fleet=None, lease_files=None, tasks=None):
         """record, if given, gets the versions as they are settled and the acknowledgements as they come.
 
@@ -38,12 +38,12 @@
         lease_files, tasks: where leases are kept, and the duties that are on; none granted where either is left out.
         """
         self.files, self.log, self.record = files, log, record
-        self.keeper = Keeper(files, frame)
+        self.keeper = DurableCatalogue(files, frame)
         self.epoch, self.fleet = self.epoch_of(files), fleet or FleetRow(1, 1, {}, 1, 1)
         self.settled_at, self.ruler = deque([(self.keeper.settled, now())], 1000), None
         self.watchers, self.wakes = {}, {}
         self.waiting, self.settling, self.staged = [], None, []
-        self.broken, self.resuming = None, Resuming(self.keeper.resume, self.resumed)
+        self.broken, self.resuming = None, StoreRetry(self.keeper.resume, self.resumed)
         self.server, self.stopped = None, asyncio.Event()
         self.peaks = peak_files and PeakService(peak_files, self.epoch, frame, lambda: self.keeper.now.titles, log)
         self.leases = LeaseService(lease_files, tasks, self.act, log, record) if lease_files and tasks else None
@@ -66,7 +66,7 @@
         files.sync(part)
         files.rename(part, EPOCH_FILE)
 
-    def outlived(self, watcher, version):
+    def start_new_epoch(self, watcher, version):
         """A watcher holds what this store never settled: it was put back from an older copy. Its versions from here on
         are others than those that were told under these numbers, so that it is another epoch."""
         was, self.epoch = self.epoch, secrets.token_hex(6)
@@ -186,7 +186,7 @@
                     version=trial.version, changed=len(trial.apply(ops, expect, self.in_use(), force).titles)
                 )
             delta = keeper.stage(ops, expect, self.in_use(), force, who[:100], why[:500], id)
-        except Behind as late:
+        except VersionConflict as late:
             return pb.ChangeReply(version=keeper.settled, behind=str(late))
         except Refused as no:
             return pb.ChangeReply(version=keeper.settled, faults=[str(f) for f in no.faults[:1000]])
@@ -265,7 +265,7 @@
         """One sync for all that waits; only then is any of it told or acknowledged."""
         self.settling, waiting, self.waiting = None, self.waiting, []
         try:
-            version = self.keeper.settle()
+            version = self.keeper.commit()
         except OSError as bad:
             # What reached the disk is not known: nothing more is taken until the state was written anew.
             self.broken = bad
@@ -335,7 +335,7 @@
         if first is None:
             return
         if first.epoch == self.epoch and first.version > self.keeper.settled:
-            self.outlived(first.name, first.version)
+            self.start_new_epoch(first.name, first.version)
         await context.send_initial_metadata(())  # so that it knows that it is heard, with nothing to tell
         watcher = Watcher(first.name, first.role, first.epoch, first.version if first.epoch else None, self.epoch)
         wake = asyncio.Event()
@@ -351,7 +351,7 @@
         def hear(said):
             self.hear(watcher, said)
             if self.leases is not None and (said.leases or said.acts):
-                job = asyncio.ensure_future(self.leases.hear(said, tell))
+                job = asyncio.ensure_future(self.leases.handle(said, tell))
                 jobs.add(job)
                 job.add_done_callback(jobs.discard)
             wake.set()
@@ -362,7 +362,10 @@
                 wake.clear()
                 while answers:
                     await context.write(answers.pop(0))
-                while self.watchers.get(first.name) is watcher and (message := watcher.next(self.keeper)) is not None:
+                while (
+                    self.watchers.get(first.name) is watcher
+                    and (message := watcher.next_message(self.keeper)) is not None
+                ):
                     if self.record and (isinstance(message, Delta) or message.last):
                         self.record.put("told", watcher=first.name, version=message.version)
                     await context.write(wire.reply_out(self.epoch, message))
@@ -419,7 +422,7 @@
         rows = [titles[name] for name in request.titles if name in titles] if request.titles else list(titles.values())
         parts = [rows[n : n + PART] for n in range(0, len(rows), PART)] or [[]]
         for n, part in enumerate(parts):
-            yield wire.part_out(Whole(version, part, n == 0, n + 1 == len(parts), keeper.floor))
+            yield wire.part_out(SnapshotPart(version, part, n == 0, n + 1 == len(parts), keeper.floor))
 
     async def History(self, request, context):
         versions = [v for v in self.keeper.history if v <= self.keeper.settled][-(request.last or 20) :]
--- a/flaxscale/catalogued/resuming.py
+++ b/flaxscale/catalogued/store_retry.py
@@ -5,7 +5,7 @@
 RESUME_S = 1.0  # between two tries: a full disk is seldom emptied sooner, and each try writes the whole state
 
 
-class Resuming:
+class StoreRetry:
     """resume() writes the state anew, or raises OSError; resumed() is called once it has."""
 
     def __init__(self, resume, resumed):
--- a/flaxscale/catalogued/streams.py
+++ b/flaxscale/catalogued/streams.py
@@ -66,7 +66,7 @@
         sooner.clear()
 
 
-async def ended(task):
+async def cancel_and_wait(task):
     """Ends a task that is inside gRPC, and returns when it is over, however it ends.
 
     A cancel that comes just as a stream breaks can be lost there, so it is said again.
--- a/flaxscale/catalogued/watch.py
+++ b/flaxscale/catalogued/watch.py
@@ -12,13 +12,13 @@
 import msgspec
 
 from ..catalogue import wire
-from ..catalogue.spread import Follower, Gap, Whole
+from ..catalogue.replication import Follower, SnapshotPart, VersionGap
 from ..catalogue.state import Delta, Title, decode_delta, encode_delta
 from ..proto import catalogue_pb2 as pb
 from ..proto import catalogue_pb2_grpc as pb_grpc
 from ..serve.clock import now
 from ..store.log import Log, StoreError
-from .streams import channel_to, come_back, ended
+from .streams import cancel_and_wait, channel_to, come_back
 
 SLICE = 1_000  # titles encoded between two turns of the loop
 KEEP_EVERY = 5_000  # deltas in the log before the whole is written again
@@ -48,7 +48,7 @@
         self.heard_at, self.kept_wall, self.task, self.channel, self.store = None, None, None, None, None
         self.up, self.saving, self.since = False, None, 0
         self.inner, self.sooner = None, asyncio.Event()
-        self.recent, self.sums, self.refused = deque(maxlen=RECENT), {}, 0
+        self.recent, self.digests, self.refused = deque(maxlen=RECENT), {}, 0
 
     def start(self):
         if self.files is not None:
@@ -67,9 +67,9 @@
             self.follower.load(kept.epoch, kept.version, {t.name: t for t in kept.titles}, kept.floor)
             for _, content in found.records:
                 delta, *_ = decode_delta(content)
-                self.follower.delta(kept.epoch, delta)
+                self.follower.apply_delta(kept.epoch, delta)
             self.since, self.kept_wall = len(found.records), kept.wall
-        except (StoreError, OSError, ValueError, Gap, msgspec.MsgspecError) as bad:
+        except (StoreError, OSError, ValueError, VersionGap, msgspec.MsgspecError) as bad:
             # Never served from what does not read: without a service this manager has no titles, and says so.
             self.log.error("kept catalogue not used", detail=str(bad))
             self.follower.load(None, None, {})
@@ -137,7 +137,7 @@
         if why is not None:
             self.log.info("catalogue not followed", detail=why[:300])
 
-    def nudge(self):
+    def reconnect(self):
         """Asks the source anew at once, whatever the stream that stands seems to do."""
         self.sooner.set()
         if self.inner is not None:
@@ -152,11 +152,11 @@
                 self.sooner.set()
                 return "asked anew"
             self.inner.result()
-        except Gap as gap:
+        except VersionGap as gap:
             self.follower.epoch = None  # ask for the whole
             return str(gap)
         finally:
-            await ended(self.inner)
+            await cancel_and_wait(self.inner)
 
     async def listen(self):
         f = self.follower
@@ -196,13 +196,13 @@
         f = self.follower
         try:
             message = wire.reply_in(reply)
-            changed = (f.whole if isinstance(message, Whole) else f.delta)(reply.epoch, message)
+            changed = (f.apply_part if isinstance(message, SnapshotPart) else f.apply_delta)(reply.epoch, message)
         except ValueError as bad:
             version = reply.part.version or reply.delta.version
             self.log.error("catalogue refused", version=version, why=str(bad)[:300])
             self.refused = version
             return pb.WatchRequest(name=self.name, refusal=pb.Refusal(version=version, why=str(bad)[:500]))
-        if isinstance(message, Whole) and not message.last:
+        if isinstance(message, SnapshotPart) and not message.last:
             return None
         self.took(message, changed)
         return pb.WatchRequest(name=self.name, ack=f.version, in_use=self.seats())
@@ -213,23 +213,23 @@
         if changed is None:
             return
         self.refused = 0
-        if isinstance(message, Whole):
+        if isinstance(message, SnapshotPart):
             self.recent.clear()
-            self.sums.clear()
+            self.digests.clear()
         else:
             self.recent.append(message)
-        self.sums[f.version] = f.sum
-        if len(self.sums) > RECENT:
-            del self.sums[next(iter(self.sums))]
+        self.digests[f.version] = f.digest
+        if len(self.digests) > RECENT:
+            del self.digests[next(iter(self.digests))]
         self.log.info("catalogue", version=f.version, titles=len(changed))
         self.changed(changed, f.version)
-        self.keep(Delta(f.version, changed, f.floor), isinstance(message, Whole))
+        self.keep(Delta(f.version, changed, f.floor), isinstance(message, SnapshotPart))
 
-    def handed(self, epoch, messages):
+    def apply_handed_over(self, epoch, messages):
         """Takes what another manager handed over, checked against its digest before. ValueError: it does not fit us."""
         for message in messages:
             f = self.follower
-            self.took(message, (f.whole if isinstance(message, Whole) else f.delta)(epoch, message))
+            self.took(message, (f.apply_part if isinstance(message, SnapshotPart) else f.apply_delta)(epoch, message))
 
     def seats(self):
         return [pb.SeatsInUse(title=t, package=p, count=n) for (t, p), n in self.in_use().items()]
@@ -242,4 +242,4 @@
 
     async def stop(self):
         for task in (self.task, self.saving):
-            await ended(task)
+            await cancel_and_wait(task)
--- a/flaxscale/cli/catalogue.py
+++ b/flaxscale/cli/catalogue.py
@@ -12,7 +12,7 @@
 from . import BAD, ready, service, site_errors
 from .logs import LEVELS, logger
 
-REFUSED = 4
+EXIT_REFUSED = 4
 
 
 @click.group()
@@ -30,7 +30,7 @@
 @click.option("--ready", "say_ready", is_flag=True)
 def serve(site, store, host, port, log_level, record, say_ready):
     """Serve the catalogue of SITE from a durable store."""
-    from ..catalogued.service import Service
+    from ..catalogued.service import CatalogueService
     from ..lab.changes import frame_of
     from ..lab.records import Recorder
     from ..leases.duties import tasks_of
@@ -40,7 +40,7 @@
     found = site_errors(lambda: read_site(site))
     try:
         log = logger(log_level, None, program="catalogue")
-        made = Service(
+        made = CatalogueService(
             Files(store),
             frame_of(found),
             log,
@@ -69,7 +69,7 @@
     service.run(main())
 
 
-def talks(command):
+def service_command(command):
     """A command that calls the service; what goes wrong is one line and a status."""
 
     @click.option("--at", default="127.0.0.1:7070", show_default=True, metavar="HOST:PORT")
@@ -94,11 +94,11 @@
     """Prints what became of a change; its status."""
     if reply.behind:
         click.echo(f"not made: {reply.behind}", err=True)
-        return REFUSED
+        return EXIT_REFUSED
     if reply.faults:
         for fault in reply.faults[:100]:
             click.echo(f"refused: {fault}", err=True)
-        return REFUSED
+        return EXIT_REFUSED
     if not reply.changed:
         click.echo(f"nothing differs from version {reply.version}")
         return 0
@@ -106,7 +106,7 @@
     return 0
 
 
-AGAIN_S = 3.0  # without an answer a change is asked for again, under its id
+RETRY_FOR_S = 3.0  # without an answer a change is asked for again, under its id
 
 
 def change_options(command):
@@ -126,7 +126,7 @@
     return command
 
 
-def who():
+def user_name():
     try:
         return getpass.getuser()
     except (KeyError, OSError):
@@ -137,7 +137,7 @@
 @click.argument("file", type=click.Path())
 @click.option("--keep", is_flag=True, help="Leave titles that FILE does not name; they are dropped otherwise.")
 @change_options
-@talks
+@service_command
 async def put(client, file, keep, expect, force, dry, why, id):
     """Make the catalogue what FILE says (Jsonnet or Parquet), in one change set."""
     from ..catalogue.files import ops_to, read_catalogue
@@ -149,25 +149,26 @@
         click.echo(f"nothing differs from version {version}")
         return 0
     return said(
-        await client.change(ops, version if expect is None else expect, force, dry, who(), why, id, AGAIN_S), dry
+        await client.change(ops, version if expect is None else expect, force, dry, user_name(), why, id, RETRY_FOR_S),
+        dry,
     )
 
 
 @catalogue.command()
 @click.argument("file", type=click.Path())
 @change_options
-@talks
+@service_command
 async def edit(client, file, expect, force, dry, why, id):
     """Make the change set in FILE: a Jsonnet list of operations."""
     from ..catalogue.files import read_ops
 
-    return said(await client.change(read_ops(file), expect, force, dry, who(), why, id, AGAIN_S), dry)
+    return said(await client.change(read_ops(file), expect, force, dry, user_name(), why, id, RETRY_FOR_S), dry)
 
 
 @catalogue.command()
 @click.argument("old", type=int)
 @click.argument("new", type=int, required=False)
-@talks
+@service_command
 async def diff(client, old, new):
     """What changed from version OLD to NEW (the present one if left out)."""
     from ..catalogue.state import diff as differ
@@ -188,7 +189,7 @@
 
 @catalogue.command()
 @click.option("--last", default=20, show_default=True)
-@talks
+@service_command
 async def log(client, last):
     """The last changes, with who made them and why."""
     from ..proto import catalogue_pb2 as pb
@@ -201,7 +202,7 @@
 @catalogue.command()
 @click.argument("version", type=int)
 @click.option("--expect", default=None, type=int)
-@talks
+@service_command
 async def rollback(client, version, expect):
     """Make the catalogue what it was at VERSION, as a new version."""
     from ..catalogued.client import new_id
@@ -209,14 +210,16 @@
 
     return said(
         await client.call(
-            "Rollback", pb.RollbackRequest(to=version, expect=expect, who=who(), id=new_id()), again_s=AGAIN_S
+            "Rollback",
+            pb.RollbackRequest(to=version, expect=expect, who=user_name(), id=new_id()),
+            retry_for_s=RETRY_FOR_S,
         )
     )
 
 
 @catalogue.command()
 @click.argument("title")
-@talks
+@service_command
 async def holders(client, title):
     """Who holds TITLE, and what it is."""
     version, titles = await client.get(titles=[title])
@@ -250,13 +253,13 @@
 @click.argument("question", type=click.Path())
 @click.option("--out", default=None, type=click.Path(), help="Write the change set here, for `catalogue edit`.")
 @click.option("--seconds", default=20.0, show_default=True, help="For the solver, at most.")
-@talks
+@service_command
 async def plan_command(client, question, out, seconds):
     """Which boxes should hold what: copies to add and drop for the demand in QUESTION (Jsonnet)."""
     import msgspec
 
-    from ..catalogue.plan import Question, Shelf, plan
-    from ..site.load import SiteError, evaluate, shape
+    from ..catalogue.plan import BoxCapacity, PlanRequest, plan
+    from ..site.load import SiteError, decode_as, evaluate_jsonnet
 
     class ShelfRow(msgspec.Struct, forbid_unknown_fields=True):
         id: int
@@ -273,7 +276,7 @@
         copies: int = 3
         stress: float = 1.5
 
-    asked = shape(question, evaluate(question), QuestionRow)
+    asked = decode_as(question, evaluate_jsonnet(question), QuestionRow)
     for key, good, expected in (
         ("boxes", asked.boxes, "at least one box"),
         ("moves", asked.moves >= 0, "0 or more"),
@@ -289,8 +292,8 @@
     try:
         with no_banner():
             found = plan(
-                Question(
-                    tuple(Shelf(b.id, b.link_kb, b.rack, b.room) for b in asked.boxes),
+                PlanRequest(
+                    tuple(BoxCapacity(b.id, b.link_kb, b.rack, b.room) for b in asked.boxes),
                     {int(r): kb for r, kb in asked.uplinks.items()},
                     asked.demand,
                     asked.value,
@@ -324,7 +327,7 @@
 
 
 @catalogue.command("who")
-@talks
+@service_command
 async def who_command(client):
     """Who follows the catalogue, at which version, and who refused one."""
     from ..proto import catalogue_pb2 as pb
--- a/flaxscale/cli/days.py
+++ b/flaxscale/cli/days.py
@@ -14,7 +14,7 @@
 from ..rules.duties import duties
 from ..rules.promises import NAMES, promises
 from ..rules.records import RecordError
-from ..site.load import evaluate
+from ..site.load import evaluate_jsonnet
 from ..site.terms import read_site
 from . import BAD, BROKEN, service, site_errors
 from .logs import logger
@@ -81,7 +81,7 @@
     """Check a site's or a day's FILE."""
 
     def run():
-        text = evaluate(file)
+        text = evaluate_jsonnet(file)
         if '"demand"' in text and '"boxes"' in text:
             found = read_day(file, sockets=None)
             click.echo(
--- a/flaxscale/cli/fleet.py
+++ b/flaxscale/cli/fleet.py
@@ -11,7 +11,7 @@
 from ..rules.audit import judge
 from . import BAD, service
 from .audit import BEHIND, FIELDS, show_findings
-from .catalogue import AGAIN_S, REFUSED, talks, who
+from .catalogue import EXIT_REFUSED, RETRY_FOR_S, service_command, user_name
 
 ANSWER_S = 2.0
 
@@ -183,7 +183,7 @@
 @click.argument("version", type=int, required=False)
 @click.option("--force", is_flag=True, help="Whoever it shuts out.")
 @click.option("--why", default="", help="Kept with the floor.")
-@talks
+@service_command
 async def floor(client, version, force, why):
     """Raise the floor to VERSION of the catalogue: nothing may be done under an earlier one from then on.
 
@@ -193,11 +193,13 @@
     from ..proto import catalogue_pb2 as pb
 
     reply = await client.call(
-        "Floor", pb.FloorRequest(floor=version or 0, force=force, who=who(), why=why, id=new_id()), again_s=AGAIN_S
+        "Floor",
+        pb.FloorRequest(floor=version or 0, force=force, who=user_name(), why=why, id=new_id()),
+        retry_for_s=RETRY_FOR_S,
     )
     if reply.refused:
         click.echo(f"refused: {reply.refused}", err=True)
-        return REFUSED
+        return EXIT_REFUSED
     under = f"; under it: {', '.join(reply.under)}" if reply.under else ""
     stands = f"floor {reply.floor}" if reply.floor else "no floor stands"
     click.echo(f"epoch {reply.epoch}, version {reply.version}: {stands}{under}")
--- a/flaxscale/cli/front.py
+++ b/flaxscale/cli/front.py
@@ -14,7 +14,7 @@
 from ..front.steps import Steps
 from ..serve.clock import set_wrong
 from ..site.load import SiteError
-from ..site.terms import Sense, read_site
+from ..site.terms import ManagerSite, read_site
 from ..store.files import Files
 from ..store.troubled import TroubledFiles
 from . import ready, service, site_errors
@@ -92,7 +92,7 @@
         set_wrong(float(off), float(rate or 1))
     paths = json.loads(pathlib.Path(via).read_text()) if via else None
     files = functools.partial(TroubledFiles, pathlib.Path(disk_fault)) if disk_fault else Files
-    made = Sense(
+    made = ManagerSite(
         found,
         me,
         found.zones.index(zone) if zone else 0,
--- a/flaxscale/cli/hunt.py
+++ b/flaxscale/cli/hunt.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ..lab.shapes import faults, read_day
-from ..site.load import refuse
+from ..site.load import raise_first_fault
 from . import BAD, BROKEN, site_errors
 
 
@@ -91,5 +91,5 @@
 def quiet_day(file, sockets):
     """The day without its own troubles, checked for who will play it."""
     day = msgspec.structs.replace(read_day(file, sockets=None), troubles=[])
-    refuse(file, faults(day, sockets))
+    raise_first_fault(file, faults(day, sockets))
     return day
--- a/flaxscale/cli/leases.py
+++ b/flaxscale/cli/leases.py
@@ -4,7 +4,7 @@
 
 import click
 
-from .catalogue import REFUSED, talks, who
+from .catalogue import EXIT_REFUSED, service_command, user_name
 
 
 @click.group()
@@ -25,7 +25,7 @@
 
 @leases.command("list")
 @click.option("--json", "as_json", is_flag=True, help="JSON lines.")
-@talks
+@service_command
 async def list_command(client, as_json):
     """Each piece with its last holder."""
     reply = await asked(client)
@@ -56,14 +56,14 @@
 
 @leases.command()
 @click.argument("piece")
-@talks
+@service_command
 async def why(client, piece):
     """Why a piece is where it is, what was last done of it, and who asked for it in vain."""
     reply = await asked(client)
     row = next((row for row in reply.rows if row.piece == piece), None)
     if row is None:
         click.echo(f"{piece}: never granted; pieces: {', '.join(row.piece for row in reply.rows) or 'none'}", err=True)
-        return REFUSED
+        return EXIT_REFUSED
     click.echo(row_of(row))
     if row.last:
         click.echo(f"last done {row.last_ms_ago / 1000:.1f} s ago, or in an earlier life of the service: {row.last}")
@@ -74,19 +74,19 @@
 
 @leases.command()
 @click.argument("piece")
-@talks
+@service_command
 async def release(client, piece):
     """Take a piece from its holder: the service refuses it at once, and another may have it after its span."""
-    reply = await asked(client, release=piece, who=who())
+    reply = await asked(client, release=piece, who=user_name())
     if reply.refused:
         click.echo(f"not released: {reply.refused}", err=True)
-        return REFUSED
+        return EXIT_REFUSED
     click.echo(row_of(next(row for row in reply.rows if row.piece == piece)))
 
 
 @leases.command()
 @click.option("--last", default=20, show_default=True)
-@talks
+@service_command
 async def history(client, last):
     """Grants and ends, the latest last."""
     reply = await asked(client, history=max(1, last))
--- a/flaxscale/cli/peaks.py
+++ b/flaxscale/cli/peaks.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from . import site_errors
-from .catalogue import AGAIN_S, REFUSED, talks, who
+from .catalogue import EXIT_REFUSED, RETRY_FOR_S, service_command, user_name
 
 
 @click.group()
@@ -68,18 +68,18 @@
     from ..proto import peaks_pb2 as pb
 
     return await client.call(
-        "Change", pb.ChangeRequest(who=who(), id=new_id(), **what), stub=client.peaks, again_s=AGAIN_S
+        "Change", pb.ChangeRequest(who=user_name(), id=new_id(), **what), stub=client.peaks, retry_for_s=RETRY_FOR_S
     )
 
 
 def said(reply, what):
     if reply.behind:
         click.echo(f"not made: {reply.behind}", err=True)
-        return REFUSED
+        return EXIT_REFUSED
     for fault in reply.faults:
         click.echo(f"refused: {fault}", err=True)
     if reply.faults:
-        return REFUSED
+        return EXIT_REFUSED
     click.echo(f"{what}; version {reply.version}")
     return 0
 
@@ -136,7 +136,7 @@
 @peak.command()
 @click.argument("name")
 @options(needed=True)
-@talks
+@service_command
 async def announce(client, name, expect, why, **given):
     """Announce a peak under NAME."""
     from ..peaks import wire
@@ -150,7 +150,7 @@
 @peak.command()
 @click.argument("name")
 @options(needed=False)
-@talks
+@service_command
 async def change(client, name, expect, why, **given):
     """Change what is announced under NAME; what is not given stays. A planned schedule goes."""
     from ..proto import peaks_pb2 as pb
@@ -164,7 +164,7 @@
 @click.argument("name")
 @click.option("--expect", default=None, type=int)
 @click.option("--why", default="")
-@talks
+@service_command
 async def cancel(client, name, expect, why):
     """Cancel NAME: its room is handed back at once."""
     return said(await ordered(client, cancel=name, expect=expect, why=why), f"cancelled {name}")
@@ -181,7 +181,7 @@
 
 
 @peak.command("list")
-@talks
+@service_command
 async def list_command(client):
     """All announcements, and where each stands."""
     from ..peaks import wire
@@ -198,7 +198,7 @@
 
 @peak.command()
 @click.argument("name")
-@talks
+@service_command
 async def show(client, name):
     """One announcement: what it says, its room, what managers see come, its history."""
     from ..peaks import wire
@@ -208,7 +208,7 @@
     found = next((wire.peak_in(p) for p in reply.peaks if p.name == name), None)
     if found is None:
         click.echo(f"flaxscale: {name}: not announced (version {reply.version})", err=True)
-        return REFUSED
+        return EXIT_REFUSED
     click.echo(f"{name}: {stands(found, reply.now_s)}")
     click.echo(f"  titles {', '.join(found.titles) or '-'}; packages {', '.join(found.packages) or '-'}")
     click.echo(
@@ -238,7 +238,7 @@
 @click.option("--put", is_flag=True, help="Put the planned schedules in service with their announcements.")
 @click.option("--out", default=None, type=click.Path(), help="Write the whole plan there, as JSON.")
 @click.option("--seconds", default=30.0, show_default=True, help="The solver's time.")
-@talks
+@service_command
 async def plan(client, question, put, out, seconds):
     """Plan the room for what is announced: QUESTION (Jsonnet) says boxes, uplinks, demand and recent lengths."""
     from ..peaks import wire
--- a/flaxscale/cli/solve.py
+++ b/flaxscale/cli/solve.py
@@ -13,7 +13,7 @@
 
 
 class Asked(NamedTuple):
-    question: dict  # catalogue.plan.Question's fields
+    question: dict  # catalogue.plan.PlanRequest's fields
     held: dict[str, list[int]]  # title: boxes that hold it now
     seconds: float  # for the solver, at most
 
@@ -28,16 +28,16 @@
 @click.command(hidden=True)
 def solve():
     """Read an Asked as JSON, write a Told."""
-    from ..catalogue.plan import Question, Shelf, plan
+    from ..catalogue.plan import BoxCapacity, PlanRequest, plan
 
     try:
         asked = msgspec.json.decode(sys.stdin.buffer.read(), type=Asked)
         fields = {
             **asked.question,
-            "boxes": tuple(Shelf(*row) for row in asked.question["boxes"]),
+            "boxes": tuple(BoxCapacity(*row) for row in asked.question["boxes"]),
             "uplinks": {int(rack): kb for rack, kb in asked.question["uplinks"].items()},
         }
-        made = plan(Question(**fields), {title: set(boxes) for title, boxes in asked.held.items()}, asked.seconds)
+        made = plan(PlanRequest(**fields), {title: set(boxes) for title, boxes in asked.held.items()}, asked.seconds)
     except (msgspec.MsgspecError, ValueError, KeyError, TypeError) as bad:
         click.echo(f"flaxscale: the question: {bad}", err=True)
         sys.exit(BAD)
--- a/flaxscale/front/boxes.py
+++ b/flaxscale/front/boxes.py
@@ -65,7 +65,7 @@
 
     def rule(self, sense):
         """Goes by these settings from now on."""
-        self.load_names, self.figures = sense.load_names, sense.notes
+        self.load_names, self.figures = sense.load_names, sense.note_kinds
         self.dial_s = self.pool.dial_s = sense.site.allowed.dial_timeout_ms / 1000
 
     # Probes
--- a/flaxscale/front/duties.py
+++ b/flaxscale/front/duties.py
@@ -77,7 +77,7 @@
         time, pieces = now(), duties.pieces_of(self.tasks, self.front.boxes.places)
         if self.holder.deaf(time):
             self.front.lines.info("leases: the service is silent, asked anew")
-            self.front.watch.nudge()
+            self.front.watch.reconnect()
         self.front.fleet.renew()
         shared = share(list(pieces), eligible(self.fits())) if self.front.fleet.shut is None else {}
         mine = {piece: pieces[piece] for piece, name in shared.items() if name == self.front.name}
--- a/flaxscale/front/fleet.py
+++ b/flaxscale/front/fleet.py
@@ -84,7 +84,7 @@
                 "epoch": f.epoch or "",
                 "version": f.version or 0,
                 "floor": max(f.floor, self.told_floor),
-                "digest": f.sum,
+                "digest": f.digest,
                 "up": front.watch.up,
                 "refused": front.watch.refused,
             }
@@ -142,7 +142,7 @@
         if step.nudge:
             self.counts["nudges"] += 1
             self.front.lines.info("behind: source asked anew", since=time - since, newest=newest)
-            self.front.watch.nudge()
+            self.front.watch.reconnect()
             if self.front.follower:
                 self.front.follower.nudge()
         if step.peer is not None:
@@ -177,7 +177,7 @@
             )
             told_by = await self.witnesses(peer, newest.epoch, handing.version_of(result.body))
             epoch, messages = handing.taken(result.body, follower, newest.epoch, told_by)
-            self.front.watch.handed(epoch, messages)
+            self.front.watch.apply_handed_over(epoch, messages)
             good = True
             self.counts["brought_up"] += 1
             lines.info("brought up", by=peer, epoch=epoch, version=follower.version, bytes=len(result.body))
@@ -332,7 +332,9 @@
             raise Refusal(404, "no versions are spread here")
         if what == "digest":
             f, version = self.front.watch, args.get("version", "")
-            known = f.sums.get(int(version)) if version.isdecimal() and args.get("epoch") == f.follower.epoch else None
+            known = (
+                f.digests.get(int(version)) if version.isdecimal() and args.get("epoch") == f.follower.epoch else None
+            )
             if known is None:
                 raise Refusal(404, "this version is not known here")
             exchange.respond(200, [("Content-Type", "application/json")], str(known).encode())
--- a/flaxscale/front/front.py
+++ b/flaxscale/front/front.py
@@ -16,7 +16,7 @@
 from .. import interface
 from ..admission.gate import Gate
 from ..admission.stall import StallDetector
-from ..catalogue.view import FileView, LiveView, title_id
+from ..catalogue.title_lookup import CatalogueTitles, SiteTitles, title_id
 from ..http1 import fields
 from ..http1.server import Limits
 from ..interface import Outcome
@@ -29,8 +29,8 @@
 from ..signalling import endpoint
 from ..signalling.endpoint import Refusal
 from ..site.change import refusals
-from ..site.load import SiteError, refuse
-from ..site.terms import Sense
+from ..site.load import SiteError, raise_first_fault
+from ..site.terms import ManagerSite
 from ..store.files import Files
 from .audit import FrontAudit
 from .boxes import Boxes
@@ -126,7 +126,7 @@
         self.follower = (
             ListFollower(list_address, self.name, self.book, state, self.listed, log) if list_address else None
         )
-        self.watch, self.view = None, FileView(self.site)
+        self.watch, self.view = None, SiteTitles(self.site)
         if catalogue_address:
             from ..catalogued.watch import CatalogueWatch  # gRPC is slow to load and most tests need none
 
@@ -141,7 +141,7 @@
                 self.check_titles,
                 self.seats_in_use,
             )
-            self.view = LiveView(sense, self.watch.follower)
+            self.view = CatalogueTitles(sense, self.watch.follower)
         self.peaks = FrontPeaks(
             self,
             catalogue_address,
@@ -184,8 +184,8 @@
             if self.reread is None:
                 raise SiteError("settings", "", "no file that could be read again")
             site, was = self.reread(), self.sense
-            refuse("settings in service", self.refusals(site))
-            sense = Sense(site, was.me, site.zones.index(was.zone_name), was.seed, was)
+            raise_first_fault("settings in service", self.refusals(site))
+            sense = ManagerSite(site, was.me, site.zones.index(was.zone_name), was.seed, was)
         except SiteError as bad:
             self.lines.warning("settings refused", detail=str(bad))
             self.load_counts["refused"] += 1
@@ -194,7 +194,7 @@
         self.boxes.rule(sense)
         self.book.configure(sense.kinds, sense.zones, site.fleet.cells, sense.terms.rules.warm_up_time)
         if self.watch is None:
-            self.view = FileView(site)
+            self.view = SiteTitles(site)
         else:
             self.view.packages = sense.packages
         self.keys.retention, self.gate.on = round(site.front.keep_answers_ms * 10), site.front.gate
@@ -205,7 +205,7 @@
         self.lines.info("settings loaded", site=site.name, mark=self.mark, viewings=len(self.viewings))
 
     def refusals(self, site):
-        names = list(self.sense.rows)
+        names = list(self.sense.package_rows)
         in_use = Counter(names[held.request.package] for held in self.runner.sessions.values())
         found = refusals(
             self.site,
@@ -253,7 +253,7 @@
         self.keys.expire(now())
         if self.watch:
             held = {vw.request.title for vw in self.runner.sessions.values()}
-            self.runner.titles_changed(self.view.forget(now(), held))
+            self.runner.titles_changed(self.view.forget_unused(now(), held))
         self.housekeeping = self.loop.call_later(5.0, self.keep_house)
 
     async def stop(self, grace=3.0):
@@ -394,7 +394,7 @@
 
     def entry(self, title, sends):
         """(what the front needs of a title, the package of who watches or pushes it), or None each."""
-        row = self.view.look(title, now())
+        row = self.view.find(title, now())
         return row, row and (row.push if sends else row.view)
 
     def admit(self, exchange, title, args):
@@ -468,7 +468,7 @@
         )
         rungs = len(self.site.ladder.kb) - 1
         vw.cookie = cookie_out(vw.name, offer, viewer, rungs if offer.top is None else min(offer.top, rungs))
-        if news := self.view.news(offer.title):
+        if news := self.view.pending_update(offer.title):
             self.runner.titles_changed([news])
         self.peaks.asked(offer.title, package)
         due = time + patience
@@ -836,7 +836,7 @@
         row, package = self.entry(cookie.title, cookie.sends)
         if package is None:
             return None
-        if news := self.view.news(cookie.title):
+        if news := self.view.pending_update(cookie.title):
             self.runner.titles_changed([news])
         return row.title, self.sense.packages[package]
 
@@ -875,7 +875,7 @@
         vw = self.viewings[self.ids] = Viewing(self.ids, None, None, self.name)
         vw.name, vw.key, vw.box, vw.place, vw.path, vw.plays = cookie.name, key, box, place[:2], row.location, True
         self.names[vw.name] = vw
-        if news := self.view.news(cookie.title):
+        if news := self.view.pending_update(cookie.title):
             self.runner.titles_changed([news])
         self.boxes.plays(box, key, vw.id, boot, epoch)
         self.boxes.keep_stream(box)
@@ -928,7 +928,7 @@
         self.fleet.versions(self.watch.follower)
         self.audit.renew()
         if titles is not None:
-            self.runner.titles_changed(self.view.changed(titles))
+            self.runner.titles_changed(self.view.pending_updates(titles))
 
     def check_titles(self, titles):
         """A version that does not fit this manager's own terms is refused; the last good one serves on."""
@@ -945,8 +945,8 @@
                 )
 
     def seats_in_use(self):
-        names = {title_id(name): name for name in self.view.told}
-        rows = list(self.sense.rows.items())
+        names = {title_id(name): name for name in self.view.announced}
+        rows = list(self.sense.package_rows.items())
         return {
             (names[title], rows[p][0]): n
             for (title, p), n in self.runner.manager.seats.taken.items()
@@ -957,8 +957,8 @@
         """Boxes that hold a title, as far as this manager knows."""
         if self.watch is not None:
             found = self.watch.follower.titles.get(title)
-            return found.may_take() if found else ()
-        entry = self.view.look(title, now())
+            return found.available_boxes() if found else ()
+        entry = self.view.find(title, now())
         cells = self.site.fleet.cells
         return [
             id
@@ -977,7 +977,7 @@
             "version": follower.version,
             "titles": len(follower.titles),
             "heard_s_ago": age,
-            "told_module": len(self.view.told),
+            "told_module": len(self.view.announced),
         }
 
     def settings(self):
--- a/flaxscale/front/peaks.py
+++ b/flaxscale/front/peaks.py
@@ -3,7 +3,7 @@
 import asyncio
 import time
 
-from ..catalogue.view import title_id
+from ..catalogue.title_lookup import title_id
 from ..peaks.announce import faults
 from ..peaks.axis import Axis
 from ..peaks.keeper import RoomKeeper, Surroundings, rates_of
@@ -24,7 +24,7 @@
         )
         self.watch, self.kept_kb = None, 0.0
         if address:
-            from ..catalogued.peakwatch import PeakWatch  # gRPC is slow to load and most tests need none
+            from ..catalogued.peak_watch import PeakWatch  # gRPC is slow to load and most tests need none
 
             self.watch = PeakWatch(address, front.name, self.changed, self.heard_clock, front.lines, files, self.check)
 
@@ -57,7 +57,7 @@
 
     def package_of(self, title):
         """The package of a title's viewers; an announced package is its own."""
-        entry = self.front.view.look(title, now())
+        entry = self.front.view.find(title, now())
         return entry.view if entry else title if title in self.site.packages else None
 
     def room_of(self, title, rung, viewings, boxes):
@@ -102,7 +102,7 @@
                 for p in self.keeper.peaks
                 if p.start_s - p.lead_s <= s < p.end_s + 10
             ]
-            self.telling = asyncio.ensure_future(self.watch.tell(seen))
+            self.telling = asyncio.ensure_future(self.watch.report_seen(seen))
 
     def state(self):
         s = self.now()
@@ -128,7 +128,7 @@
         if self.timer is not None:
             self.timer.cancel()
         if self.watch:
-            from ..catalogued.streams import ended
+            from ..catalogued.streams import cancel_and_wait
 
-            await ended(self.telling)
+            await cancel_and_wait(self.telling)
             await self.watch.stop()
--- a/flaxscale/lab/changes.py
+++ b/flaxscale/lab/changes.py
@@ -2,14 +2,14 @@
 
 import asyncio
 
-from ..catalogue.state import HOLDING, LEAVING, PREPARING, Catalogue, Frame, Hold, Put, Refused, Rungs, Seats
+from ..catalogue.state import HOLDING, LEAVING, PREPARING, Catalogue, Hold, Put, Refused, Rungs, Seats, SiteLimits
 from ..catalogued.client import Client, ServiceError, new_id
 from .chance import Dice
 from .shapes import holders_of
 
 
 def frame_of(site):
-    return Frame(
+    return SiteLimits(
         {name: p.floor for name, p in site.packages.items()},
         frozenset(name for name, p in site.packages.items() if p.seats),
         len(site.ladder.kb),
@@ -66,7 +66,7 @@
             delta = trial.apply(ops)
         except Refused:
             return False
-        return all(len(t.may_take()) >= 2 for t in delta.titles.values() if t is not None)
+        return all(len(t.available_boxes()) >= 2 for t in delta.titles.values() if t is not None)
 
     async def run(self):
         """Changes at the day's rate, until cancelled. A change that got no answer is asked for again, as it was."""
--- a/flaxscale/lab/shapes.py
+++ b/flaxscale/lab/shapes.py
@@ -4,7 +4,7 @@
 
 from ..peaks.announce import Announcement
 from ..peaks.announce import faults as peak_faults
-from ..site.load import evaluate, refuse, shape
+from ..site.load import decode_as, evaluate_jsonnet, raise_first_fault
 from ..site.shapes import Site, Struct
 from ..site.terms import checked
 from ..standins.box import Trouble
@@ -240,11 +240,11 @@
 
     sockets: True: it will start processes; False: the model will play it; None: it is only looked at.
     """
-    day = shape(file, evaluate(file, **given), Day)
+    day = decode_as(file, evaluate_jsonnet(file, **given), Day)
     if day.lease_ms is not None:
         day.site.fleet.lease_ms = day.lease_ms
     checked(file, day.site, "site.")
     if day.after is not None:
         checked(file, day.after, "after.")
-    refuse(file, faults(day, sockets))
+    raise_first_fault(file, faults(day, sockets))
     return day
--- a/flaxscale/model/manager.py
+++ b/flaxscale/model/manager.py
@@ -2,7 +2,7 @@
 
 from ..interface import ListKind, Outcome, ServerStatus
 from ..run import Phase, Runner
-from ..site.terms import Sense
+from ..site.terms import ManagerSite
 from .duties import Duties
 from .takeover import Taker
 
@@ -24,8 +24,8 @@
         self.up, self.viewings, self.leaving = True, {}, False
         # claimed: {viewing: (key, epoch)} of what was taken over; ending: {key: epoch} of what is claimed to be ended.
         self.claimed, self.ending, self.early = {}, {}, set()
-        sense = Sense(self.play.day.site, self.me, 0, self.play.seed * 1000 + self.me + self.life * 7919)
-        self.load_names, self.figures = sense.load_names, sense.notes
+        sense = ManagerSite(self.play.day.site, self.me, 0, self.play.seed * 1000 + self.me + self.life * 7919)
+        self.load_names, self.figures = sense.load_names, sense.note_kinds
         self.runner = Runner(sense.terms, self, self.play.tap)
         self.keeper = self.play.keeper(self.play.day_s() if self.life > 1 else None)
         self.told = {row.server: row for row in rows}
--- a/flaxscale/model/play.py
+++ b/flaxscale/model/play.py
@@ -16,7 +16,7 @@
 from ..leases.duties import tasks_of
 from ..peaks.keeper import RoomKeeper, Surroundings, rates_of
 from ..run import AnswerKind
-from ..site.terms import Sense
+from ..site.terms import ManagerSite
 from ..standins.box import site_of
 from .bound import of_play
 from .duties import SERVICE, Service
@@ -123,7 +123,7 @@
         self.peaks = tuple(day.peaks if peaks is None else peaks)
         self.world = World(seed)
         self.began = self.world.now
-        sense = Sense(day.site, 0, 0, seed)
+        sense = ManagerSite(day.site, 0, 0, seed)
         self.packages = list(day.site.packages.values())
         self.names = list(day.site.packages)
         self.numbers = sense.packages
--- a/flaxscale/peaks/book.py
+++ b/flaxscale/peaks/book.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ..catalogue.state import Behind
+from ..catalogue.state import VersionConflict
 from ..store.shapes import decoded
 from .announce import Announcement, faults
 
@@ -79,9 +79,9 @@
         return self.move(rest, "cancelled", name, frame, now_s, expect, who, why)
 
     def move(self, peaks, what, name, frame, now_s, expect, who, why):
-        """The next version, or Refused or Behind with all as it was."""
+        """The next version, or Refused or VersionConflict with all as it was."""
         if expect is not None and expect != self.version:
-            raise Behind(expect, self.version)
+            raise VersionConflict(expect, self.version)
         # One that is over stands until it goes by itself, also where its title was dropped since.
         peaks = {n: p for n, p in peaks.items() if p.end_s > now_s - KEEP_ENDED_S}
         judged = [p for p in peaks.values() if p.end_s > now_s or p.name == name]
--- a/flaxscale/peaks/plan.py
+++ b/flaxscale/peaks/plan.py
@@ -17,7 +17,7 @@
 from scipy.optimize import linprog
 from scipy.sparse import coo_array
 
-from ..site.load import SiteError, evaluate, shape
+from ..site.load import SiteError, decode_as, evaluate_jsonnet
 from ..site.shapes import Site
 from ..site.terms import checked
 from .announce import BoxRoom
@@ -95,7 +95,7 @@
 
 def read_question(file):
     """The Question of a Jsonnet file, or SiteError."""
-    asked = shape(file, evaluate(file), Question)
+    asked = decode_as(file, evaluate_jsonnet(file), Question)
     checked(file, asked.site, "site.")
     seen = set()
     for n, box in enumerate(asked.boxes):
--- a/flaxscale/platform/config.py
+++ b/flaxscale/platform/config.py
@@ -9,7 +9,7 @@
 
 from ..interface import SiteTerms
 from ..serve.clock import MILLISECOND
-from ..site.load import SiteError, shape
+from ..site.load import SiteError, decode_as
 from ..site.settings import site_terms
 
 ADDRESS = re.compile(r"(\d{1,3}(?:\.\d{1,3}){3}):(\d{1,5})\Z")
@@ -75,7 +75,7 @@
         text = pathlib.Path(file).read_bytes()
     except OSError as bad:
         raise SiteError(file, "", f"can't be read: {bad.strerror}") from None
-    raw = shape(file, text, File)
+    raw = decode_as(file, text, File)
     try:
         seed = int(raw.seed, 16)
     except ValueError:
--- a/flaxscale/platform/host.py
+++ b/flaxscale/platform/host.py
@@ -13,7 +13,7 @@
 from ..run import AnswerKind, Runner
 from ..serve.clock import unix_clock
 from ..site.load import SiteError
-from ..site.settings import NOTE_NAMES, PEER_WORD, span
+from ..site.settings import NOTE_KINDS_BY_NAME, PEER_MESSAGE, span_tenths
 from . import config as configuration
 from .belief import Belief
 from .bulletin import Bulletin, Unreadable
@@ -297,7 +297,7 @@
         self.counts["asked"] += 1
         session = self.sessions[setup.id] = session_of(setup, client)
         client.open[setup.call] = session
-        left = span(setup.left) - max(0, self.now() - arrived_at)
+        left = span_tenths(setup.left) - max(0, self.now() - arrived_at)
         self.runner.session_requested(self.asked(setup, max(0, left)))
         self.settle(session)
 
@@ -408,7 +408,7 @@
         self.releases.release(session, messages.CUT)
 
     def noted(self, endpoint, session, message):
-        kind = NOTE_NAMES.get(message.fields.get("note"))
+        kind = NOTE_KINDS_BY_NAME.get(message.fields.get("note"))
         if session is None or kind is None or session.id not in endpoint.playing:
             self.counts["notes on nothing"] += 1
             return
@@ -465,7 +465,7 @@
             session.client.open.pop(session.call, None)
 
     def tell_peers(self, server, kb):
-        self.peers.say(PEER_WORD.pack(server, kb))
+        self.peers.say(PEER_MESSAGE.pack(server, kb))
 
     def probe(self, server):
         self.loop.call_soon(self.runner.probe_ended, server, Outcome.ERROR, 0)
--- a/flaxscale/platform/peers.py
+++ b/flaxscale/platform/peers.py
@@ -7,7 +7,7 @@
 import asyncio
 import math
 
-from ..site.settings import PEER_WORD
+from ..site.settings import PEER_MESSAGE
 
 LINKS_MOST = 1e7  # kB a second: no change of one session is more
 OPEN_AGAIN = 10_000  # tenths of a millisecond between two tries to open the socket
@@ -38,12 +38,12 @@
     def datagram_received(self, data, sender):
         config = self.host.config
         peer = config.peer_numbers.get(sender)
-        if peer is None or len(data) != PEER_WORD.size:
+        if peer is None or len(data) != PEER_MESSAGE.size:
             self.host.counts["foreign words"] += 1
             return
         if peer == config.terms.manager_number:
             return
-        server, kb = PEER_WORD.unpack(data)
+        server, kb = PEER_MESSAGE.unpack(data)
         if not math.isfinite(kb) or abs(kb) > LINKS_MOST:
             self.host.counts["foreign words"] += 1
             return
--- a/flaxscale/site/load.py
+++ b/flaxscale/site/load.py
@@ -13,14 +13,14 @@
         self.file, self.key, self.expected = str(file), key, expected
 
 
-def refuse(file, found, under=""):
+def raise_first_fault(file, found, under=""):
     """Raises for the first of (key, what was expected) and counts the others; nothing where none was found."""
     if found:
         more = f" (and {len(found) - 1} more)" if len(found) > 1 else ""
         raise SiteError(file, under + found[0][0], f"{found[0][1]} expected{more}")
 
 
-def evaluate(file, **given):
+def evaluate_jsonnet(file, **given):
     """The JSON that a Jsonnet file gives; `given` are external variables, for std.extVar."""
     import _jsonnet  # a manager whose configuration is JSON runs without it
 
@@ -36,7 +36,7 @@
         raise SiteError(file, "", f"not Jsonnet that can be evaluated: {text}") from None
 
 
-def shape(file, text, kind):
+def decode_as(file, text, kind):
     """The JSON text as an instance of `kind`."""
     try:
         return msgspec.json.decode(text, type=kind)
--- a/flaxscale/site/settings.py
+++ b/flaxscale/site/settings.py
@@ -5,22 +5,27 @@
 
 from .. import interface
 
-NOTES = {
+NOTE_KINDS_BY_NUMBER = {
     1: interface.NoteKind.DELIVERED,
     2: interface.NoteKind.RUNG,
     3: interface.NoteKind.LINK,
     4: interface.NoteKind.UPLINK,
 }
-NOTE_NAMES = {"share": NOTES[1], "step": NOTES[2], "asked": NOTES[3], "rack": NOTES[4]}  # the same on sockets
-LOADS = {"x0": "link", "x1": "uplink", "busy_reqs": "streams"}
-PEER_WORD = struct.Struct("<If")  # a server and kB a second
+NOTE_KINDS_BY_NAME = {
+    "share": NOTE_KINDS_BY_NUMBER[1],
+    "step": NOTE_KINDS_BY_NUMBER[2],
+    "asked": NOTE_KINDS_BY_NUMBER[3],
+    "rack": NOTE_KINDS_BY_NUMBER[4],
+}  # the same on sockets
+LOAD_NAMES = {"x0": "link", "x1": "uplink", "busy_reqs": "streams"}
+PEER_MESSAGE = struct.Struct("<If")  # a server and kB a second
 
 
-def tenths(ms):
+def to_tenths(ms):
     return round(ms * 10)
 
 
-def span(ms):
+def span_tenths(ms):
     """A span that bounds us: cut down to whole tenths, so that it is never overrun."""
     return math.floor(ms * 10 + 1e-6)
 
@@ -31,11 +36,11 @@
     goal = top["objectiveMix"]
     packages = tuple(
         interface.Package(
-            join_target=span(row["goalTimeMs"]),
+            join_target=span_tenths(row["goalTimeMs"]),
             value=row["worth"],
             effect=row["effect"],
             group=row["group"],
-            repeat_window=span(row["repeatWindowMs"]),
+            repeat_window=span_tenths(row["repeatWindowMs"]),
             floor=stream["lowestRung"][i],
             top=stream["highestRung"][i],
             scale=stream["scaleByClass"][i],
@@ -54,7 +59,7 @@
         ladder=interface.Ladder(
             tuple(stream["levelKb"]),
             tuple(stream["levelWorth"]),
-            tenths(stream["switchCostS"] * 1000),
+            to_tenths(stream["switchCostS"] * 1000),
             stream["stall"],
             stream["join"],
         ),
@@ -65,33 +70,33 @@
             stream["kbPerWeight"],
             stream["uplinkKb"],
             stream["guard"],
-            tenths(stream["seenAfterMs"]),
-            tenths(stream["tellMs"]),
-            tuple(LOADS.get(name, name) for name in top["loadInfo"]["names"])
+            to_tenths(stream["seenAfterMs"]),
+            to_tenths(stream["tellMs"]),
+            tuple(LOAD_NAMES.get(name, name) for name in top["loadInfo"]["names"])
             if top["loadInfo"]["how"] != "off"
             else (),
             top["loadInfo"]["how"] == "on_probe",
             top["weightSource"] != "off",
         ),
         rules=interface.RuleTerms(
-            span(rules["drainGraceMs"]),
-            tenths(rules["warmWithinMs"]),
+            span_tenths(rules["drainGraceMs"]),
+            to_tenths(rules["warmWithinMs"]),
             rules["startCapacity"],
             rules["tipMultiple"],
-            tenths(rules["fallMs"]),
-            span(rules["mustAskInMs"]),
+            to_tenths(rules["fallMs"]),
+            span_tenths(rules["mustAskInMs"]),
             rules.get("freeResends", 0) if rationed else None,
             rules.get("furtherRatio", 0) if rationed else None,
-            tenths(rules["resendSpanMs"]) if rationed else None,
+            to_tenths(rules["resendSpanMs"]) if rationed else None,
         ),
         allowed=interface.Allowed(
             caps["tryLimit"],
             caps["cancelling"],
             caps["retryAfter"],
-            span(caps["maxRetryAfterMs"]),
+            span_tenths(caps["maxRetryAfterMs"]),
             caps["peers"],
             caps["mayProbe"],
-            tenths(caps["dialTimeoutMs"]),
+            to_tenths(caps["dialTimeoutMs"]),
         ),
         prices=interface.Prices(
             prices["crossZone"],
--- a/flaxscale/versions/handing.py
+++ b/flaxscale/versions/handing.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ..catalogue import digest
-from ..catalogue.spread import Whole
+from ..catalogue.replication import SnapshotPart
 from ..catalogue.state import Delta, Title
 from ..store.shapes import decoded
 
@@ -80,7 +80,7 @@
             follower.epoch,
             follower.version,
             follower.floor,
-            follower.sum,
+            follower.digest,
             None,
             [
                 Change(
@@ -98,7 +98,7 @@
 def whole(giver, follower, slice):
     """The bytes of a whole copy, in parts of so many titles, as of the first of them."""
     f, titles = follower, list(follower.titles.values())
-    head = msgspec.msgpack.encode([SHAPE, giver, f.epoch, f.version, f.floor, f.sum])
+    head = msgspec.msgpack.encode([SHAPE, giver, f.epoch, f.version, f.floor, f.digest])
     # An array of eight with an array of so many titles in it, put together from its slices, and no changes.
     yield b"\x98" + head[1:] + b"\xdd" + len(titles).to_bytes(4, "big")
     for n in range(0, len(titles), slice):
@@ -134,19 +134,19 @@
     if not told.digests and told.others:
         raise Refused(f"version {found.version}, which nobody else tells yet", lied=False)
     if found.whole is not None:
-        if digest.of(found.whole) != found.digest:
+        if digest.total(found.whole) != found.digest:
             raise Refused(f"titles of version {found.version} that do not amount to its digest")
-        return found.epoch, [Whole(found.version, tuple(found.whole), True, True, found.floor)]
+        return found.epoch, [SnapshotPart(found.version, tuple(found.whole), True, True, found.floor)]
     if found.epoch != follower.epoch:
         raise Refused("changes of an epoch that we don't hold", lied=False)
-    total, at, titles, out = follower.sum, follower.version, ChainMap({}, follower.titles), []
+    total, at, titles, out = follower.digest, follower.version, ChainMap({}, follower.titles), []
     for change in found.changes:
         if change.version != at + 1:
             raise Refused(f"change {change.version} after version {at}")
         delta = Delta(
             change.version, {**{t.name: t for t in change.titles}, **dict.fromkeys(change.dropped)}, change.floor
         )
-        total, at = digest.moved(total, titles, delta.titles), change.version
+        total, at = digest.updated(total, titles, delta.titles), change.version
         titles.update(delta.titles)
         out.append(delta)
     if at != found.version or total != found.digest:
--- a/flaxscale/wirehost.py
+++ b/flaxscale/wirehost.py
@@ -9,7 +9,7 @@
 
 from . import interface, wire
 from .decide import Manager
-from .site.settings import NOTES, PEER_WORD, site_terms, span, tenths
+from .site.settings import NOTE_KINDS_BY_NUMBER, PEER_MESSAGE, site_terms, span_tenths, to_tenths
 
 OUTCOMES = {
     0: interface.Outcome.OK,
@@ -45,7 +45,7 @@
         row["slotNo"],
         row["area"],
         row["rating"],
-        tenths(row["startTimeMs"]),
+        to_tenths(row["startTimeMs"]),
         lookup(SERVER_STATUSES, row["readiness"], "readiness", offset),
     )
 
@@ -57,11 +57,11 @@
         row["priority"],
         row["programme"],
         row["resource"],
-        span(row["graceMs"]),
+        span_tenths(row["graceMs"]),
         round(row["topRung"]),
         round(row["fromCell"]),
         round(row["cellsInRow"]),
-        tenths(row["workMs"]) if row["bitmap"] & LENGTH_KNOWN else 0,
+        to_tenths(row["workMs"]) if row["bitmap"] & LENGTH_KNOWN else 0,
         bool(row["bitmap"] & MOVED),
         bool(row["bitmap"] & RETRY),
     )
@@ -74,9 +74,9 @@
     if name == "preexisting":
         return interface.SessionHandedOver(session_request(row), row["server"])
     if name == "headers":
-        return interface.AttemptSucceeded(row["id"], row["copy"], row["server"], tenths(row["elapsedMs"]))
+        return interface.AttemptSucceeded(row["id"], row["copy"], row["server"], to_tenths(row["elapsedMs"]))
     if name == "progress":
-        kind = NOTES.get(row["sort"])  # unknown kinds of notes are ignored
+        kind = NOTE_KINDS_BY_NUMBER.get(row["sort"])  # unknown kinds of notes are ignored
         return kind and interface.PlaybackNote(row["id"], row["copy"], row["server"], kind, row["amount"])
     if name == "completed":
         return interface.AttemptEnded(
@@ -84,7 +84,7 @@
             row["copy"],
             row["server"],
             lookup(OUTCOMES, row["stateCode"], "outcome", offset),
-            tenths(row["elapsedMs"]),
+            to_tenths(row["elapsedMs"]),
             bool(row["ended"]),
             row["usage"],
         )
@@ -94,12 +94,15 @@
         return interface.TimerFired(row["tag"])
     if name == "health_result":
         return interface.ProbeEnded(
-            row["server"], lookup(OUTCOMES, row["stateCode"], "outcome", offset), tenths(row["elapsedMs"]), row["usage"]
+            row["server"],
+            lookup(OUTCOMES, row["stateCode"], "outcome", offset),
+            to_tenths(row["elapsedMs"]),
+            row["usage"],
         )
     if name == "neighbour_says":
-        if len(row["msg"]) != PEER_WORD.size:  # a peer message of another version is ignored
+        if len(row["msg"]) != PEER_MESSAGE.size:  # a peer message of another version is ignored
             return None
-        return interface.PeerLoadChange(row["from"], *PEER_WORD.unpack(row["msg"]))
+        return interface.PeerLoadChange(row["from"], *PEER_MESSAGE.unpack(row["msg"]))
     kind = lookup(LIST_KINDS, row["scope"], "list scope", offset)
     if kind is None:  # a request for the list failed, the old list stays valid; with pushed changes none is made
         return None
@@ -127,7 +130,7 @@
     if isinstance(action, interface.Probe):
         return "inspect", (manager_id, action.server)
     if isinstance(action, interface.TellPeers):
-        return "memo_to", (manager_id, ALL_PEERS, PEER_WORD.pack(action.server, action.kb))
+        return "memo_to", (manager_id, ALL_PEERS, PEER_MESSAGE.pack(action.server, action.kb))
     return "log", (manager_id, action.text.encode())
 
 
@@ -151,7 +154,7 @@
     def batch(self, frame):
         """The reply to one frame."""
         clock, number, records = wire.decode(frame)
-        now, actions = tenths(clock), []
+        now, actions = to_tenths(clock), []
         for name, row, offset in records:
             if name == "list":
                 self.lists[row["setId"]] = tuple(server_entry(entry, offset) for entry in row["items"])
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -17,9 +17,9 @@
 from flaxscale.members import swim
 from flaxscale.serve.clock import now
 from flaxscale.serve.limit import within
-from flaxscale.site.load import shape
+from flaxscale.site.load import decode_as
 from flaxscale.site.shapes import Site
-from flaxscale.site.terms import Sense
+from flaxscale.site.terms import ManagerSite
 from flaxscale.standins.boxlist import BoxList
 
 LIMIT = 10
@@ -98,7 +98,7 @@
 
     async def asyncSetUp(self):
         self.folder = tempfile.TemporaryDirectory()
-        self.site = shape("test", self.terms, Site)
+        self.site = decode_as("test", self.terms, Site)
         self.site.managers = self.managers
         self.list_rows, self.log, self.seen_by = Rows(), [], Rows()
         self.list = BoxList(self.site.fleet.uplink_kb, self.list_rows)
@@ -115,13 +115,15 @@
             await self.start_front(m)
 
     async def start_service(self, port=0):
-        from flaxscale.catalogued.service import Service
+        from flaxscale.catalogued.service import CatalogueService
         from flaxscale.lab.changes import frame_of
         from flaxscale.store.files import Files
 
         self.service_rows = Rows()
         store = self.folder.name + "/store"
-        self.service = Service(Files(store), frame_of(self.site), self.service_rows, None, Files(store + "/peaks"))
+        self.service = CatalogueService(
+            Files(store), frame_of(self.site), self.service_rows, None, Files(store + "/peaks")
+        )
         self.catalogue = "%s:%d" % await self.service.start("127.0.0.1", port)
 
     async def change(self, *ops, **how):
@@ -158,7 +160,12 @@
     async def start_front(self, m, listed=True):
         log = Rows()
         front = Front(
-            Sense(self.site, m, 0, 7 + m), log, "%s:%d" % self.list.address, self.folder.name, None, self.catalogue
+            ManagerSite(self.site, m, 0, 7 + m),
+            log,
+            "%s:%d" % self.list.address,
+            self.folder.name,
+            None,
+            self.catalogue,
         )
         self.fronts.append(front)
         self.log.append(log)
@@ -270,7 +277,7 @@
         log = Rows()
         seeds = [f.members.shell.swim.me.address for f in self.fronts]
         front = Front(
-            Sense(self.site, m, 0, 7 + m),
+            ManagerSite(self.site, m, 0, 7 + m),
             log,
             "%s:%d" % self.list.address,
             self.folder.name,
--- a/tests/test_catalogue.py
+++ b/tests/test_catalogue.py
@@ -8,22 +8,22 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from flaxscale.catalogue.durable import DurableCatalogue
 from flaxscale.catalogue.files import ops_to, read_catalogue, write_parquet
-from flaxscale.catalogue.keep import Keeper
-from flaxscale.catalogue.spread import Follower, Gap, Watcher, Whole
+from flaxscale.catalogue.replication import Follower, SnapshotPart, VersionGap, Watcher
 from flaxscale.catalogue.state import (
     HOLDING,
     LEAVING,
-    Behind,
     Catalogue,
     Drop,
-    Frame,
     Hold,
     Op,
     Put,
     Refused,
     Rungs,
     Seats,
+    SiteLimits,
+    VersionConflict,
     decode_delta,
     diff,
     encode_delta,
@@ -34,7 +34,7 @@
 from flaxscale.site.load import SiteError
 from flaxscale.store.faulty import Crash, FaultyFiles
 
-FRAME = Frame({"clip": 0, "live": 1}, frozenset(["live"]), 5)
+FRAME = SiteLimits({"clip": 0, "live": 1}, frozenset(["live"]), 5)
 
 
 def put(name="a", view="clip", boxes=(1, 2), **more):
@@ -91,13 +91,13 @@
         with self.assertRaises(Refused):
             c.apply([Hold("a", 1, LEAVING)])
         c.apply([Hold("a", 1, LEAVING), Hold("a", 2, "preparing")])
-        self.assertEqual(frozenset(), c.titles["a"].may_take())
+        self.assertEqual(frozenset(), c.titles["a"].available_boxes())
         c.apply([Hold("a", 2, HOLDING), Hold("a", 1, "gone")])
-        self.assertEqual(frozenset([2]), c.titles["a"].may_take())
+        self.assertEqual(frozenset([2]), c.titles["a"].available_boxes())
 
     def test_versions_seats_in_use_and_two_operators(self):
         c = catalogue()
-        with self.assertRaisesRegex(Behind, "made for version 0, the catalogue is at 1"):
+        with self.assertRaisesRegex(VersionConflict, "made for version 0, the catalogue is at 1"):
             c.apply([put("z")], expect=0)
         with self.assertRaisesRegex(Refused, "2 seats in live, 3 are in use"):
             c.apply([Seats("b", "live", 2)], in_use={("b", "live"): 3})
@@ -159,11 +159,11 @@
 
 class Durable(unittest.TestCase):
     def run_changes(self, files, acked):
-        keeper = Keeper(files, FRAME)
+        keeper = DurableCatalogue(files, FRAME)
         for n in range(keeper.now.version, 6):
             keeper.stage(ops_of(n))
             if n % 2:
-                keeper.settle()
+                keeper.commit()
                 acked.append((keeper.settled, dict(keeper.now.titles)))
         keeper.log.snapshot(encode_whole(keeper.now.version, keeper.now.titles))
 
@@ -180,39 +180,39 @@
             with self.assertRaises(Crash):
                 self.run_changes(files, acked)
             for disk in files.survivors():
-                found = Keeper(FaultyFiles(disk), FRAME).now
+                found = DurableCatalogue(FaultyFiles(disk), FRAME).now
                 self.assertGreaterEqual(found.version, acked[-1][0] if acked else 0)
                 self.assertEqual(wanted[found.version], found.titles)  # whole versions, or none of one
 
     def test_after_a_fault_of_the_disk_it_goes_on_with_all_that_was_acknowledged(self):
         for fault in ("room", "failing_sync"):
             files = FaultyFiles()
-            keeper = Keeper(files, FRAME)
+            keeper = DurableCatalogue(files, FRAME)
             keeper.stage(ops_of(0), id="first")
-            keeper.settle()
+            keeper.commit()
             setattr(files, fault, 5 if fault == "room" else True)
             keeper.stage(ops_of(1), id="unknown")
             with self.assertRaises(OSError):
-                keeper.settle()
+                keeper.commit()
             with self.assertRaises(OSError):
                 keeper.resume()  # it still fails
             files.room, files.failing_sync = None, False
             self.assertEqual(2, keeper.resume())
             keeper.stage(ops_of(2), id="after")
-            self.assertEqual(3, keeper.settle())
+            self.assertEqual(3, keeper.commit())
             for disk in files.survivors():
-                again = Keeper(FaultyFiles(disk), FRAME)
+                again = DurableCatalogue(FaultyFiles(disk), FRAME)
                 self.assertEqual((3, keeper.now.titles), (again.now.version, again.now.titles))
                 # Whoever was told that it is not known asks again under the same id: it is made once.
                 self.assertEqual({"first", "unknown", "after"}, set(again.done))
 
     def test_history_rollback_and_what_is_too_long_ago(self):
-        keeper = Keeper(FaultyFiles(), FRAME)
+        keeper = DurableCatalogue(FaultyFiles(), FRAME)
         for n in range(5):
             keeper.stage(ops_of(n), who="o", why=f"w{n}")
         self.assertIsNone(keeper.since(9))
         self.assertEqual([], keeper.since(0))  # nothing is settled yet, so nothing may be told
-        keeper.settle()
+        keeper.commit()
         self.assertEqual([1, 2, 3, 4, 5], [d.version for d in keeper.since(0)])
         three = keeper.titles_at(3)
         keeper.stage(keeper.back_to(3))
@@ -223,15 +223,15 @@
 
     def test_ids_of_changes_are_known_after_a_start_from_log_or_snapshot(self):
         files = FaultyFiles()
-        keeper = Keeper(files, FRAME)
+        keeper = DurableCatalogue(files, FRAME)
         for n in range(3):
             keeper.stage(ops_of(n), id=f"id-{n}")
         keeper.stage_floor(2, id="floor")
-        keeper.settle()
+        keeper.commit()
         wanted = {"id-0": (1, 2), "id-1": (2, 2), "id-2": (3, 2), "floor": (4, 0)}
-        self.assertEqual(wanted, Keeper(FaultyFiles(files.written), FRAME).done)
+        self.assertEqual(wanted, DurableCatalogue(FaultyFiles(files.written), FRAME).done)
         keeper.log.snapshot(encode_whole(4, keeper.now.titles, 2, [(id, *what) for id, what in keeper.done.items()]))
-        again = Keeper(FaultyFiles(files.written), FRAME)
+        again = DurableCatalogue(FaultyFiles(files.written), FRAME)
         self.assertEqual((wanted, 2, 4), (again.done, again.floor, again.settled))
 
     def test_a_delta_of_another_shape_is_refused_by_name(self):
@@ -245,26 +245,26 @@
 
 class Spread(unittest.TestCase):
     def pump(self, watcher, follower, keeper, epoch="e"):
-        while (message := watcher.next(keeper)) is not None:
-            (follower.whole if isinstance(message, Whole) else follower.delta)(epoch, message)
-            if not isinstance(message, Whole) or message.last:
+        while (message := watcher.next_message(keeper)) is not None:
+            (follower.apply_part if isinstance(message, SnapshotPart) else follower.apply_delta)(epoch, message)
+            if not isinstance(message, SnapshotPart) or message.last:
                 watcher.ack(follower.version)
 
     def test_a_watcher_away_for_ten_thousand_versions(self):
-        keeper = Keeper(FaultyFiles(), FRAME)
+        keeper = DurableCatalogue(FaultyFiles(), FRAME)
         watcher, follower = Watcher("m", "manager", None, None, "e"), Follower()
         keeper.stage(ops_of(0))
-        keeper.settle()
+        keeper.commit()
         self.pump(watcher, follower, keeper)
         for n in range(1, 10_001):
             keeper.stage([put(f"t{n % 50}", boxes=(n % 9 + 1,))])
             if n % 100 == 0:
-                keeper.settle()
+                keeper.commit()
         self.pump(watcher, follower, keeper)
         self.assertEqual((10_001, keeper.now.titles), (follower.version, follower.titles))
         keeper.history.clear()  # what it was away for is known no more: the whole
         keeper.stage([put("last")])
-        keeper.settle()
+        keeper.commit()
         late, other = Watcher("n", "manager", "e", 5, "e"), Follower()
         self.pump(late, other, keeper)
         self.assertEqual(keeper.now.titles, other.titles)
@@ -274,29 +274,33 @@
             if any(t and t.name == "odd" for t in titles.values()):
                 raise ValueError("I know no such title")
 
-        keeper, watcher, follower = Keeper(FaultyFiles(), FRAME), Watcher("m", "m", None, None, "e"), Follower(check)
+        keeper, watcher, follower = (
+            DurableCatalogue(FaultyFiles(), FRAME),
+            Watcher("m", "m", None, None, "e"),
+            Follower(check),
+        )
         keeper.stage([put("good")])
-        keeper.settle()
+        keeper.commit()
         self.pump(watcher, follower, keeper)
         keeper.stage([put("odd")])
-        keeper.settle()
+        keeper.commit()
         with self.assertRaises(ValueError):
             self.pump(watcher, follower, keeper)
         watcher.nack(2, "I know no such title")
         self.assertEqual((1, {"good"}), (follower.version, set(follower.titles)))
-        self.assertIsNone(watcher.next(keeper))  # not again until something else comes
+        self.assertIsNone(watcher.next_message(keeper))  # not again until something else comes
         keeper.stage([Drop("odd"), put("more")])
-        keeper.settle()
+        keeper.commit()
         self.pump(watcher, follower, keeper)
         self.assertEqual((3, {"good", "more"}), (follower.version, set(follower.titles)))
 
     def test_a_watcher_that_does_not_acknowledge_gets_no_more_than_it_can_hold(self):
-        keeper, watcher = Keeper(FaultyFiles(), FRAME), Watcher("m", "m", "e", 0, "e")
+        keeper, watcher = DurableCatalogue(FaultyFiles(), FRAME), Watcher("m", "m", "e", 0, "e")
         for n in range(500):
             keeper.stage([put(f"t{n}")])
-        keeper.settle()
+        keeper.commit()
         sent = 0
-        while watcher.next(keeper) is not None:
+        while watcher.next_message(keeper) is not None:
             sent += 1
         self.assertEqual(64, sent)
 
@@ -317,20 +321,20 @@
 
         def whole(version, cut=False, epoch="e"):
             rows = list(states[version].values())
-            f.whole(epoch, Whole(version, tuple(rows[:2]), True, False))
+            f.apply_part(epoch, SnapshotPart(version, tuple(rows[:2]), True, False))
             if not cut:
-                f.whole(epoch, Whole(version, tuple(rows[2:]), False, True))
+                f.apply_part(epoch, SnapshotPart(version, tuple(rows[2:]), False, True))
 
         for what, n in deliveries:
             n = n % len(deltas)
             try:
                 if what == "delta":
-                    f.delta("e", deltas[n])
+                    f.apply_delta("e", deltas[n])
                 elif what == "other epoch":
-                    f.delta("x", deltas[n])
+                    f.apply_delta("x", deltas[n])
                 else:
                     whole(n + 1, what == "cut whole")
-            except Gap:
+            except VersionGap:
                 pass
             if f.version is not None:
                 self.assertEqual(states[f.version], f.titles)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -22,7 +22,7 @@
 from flaxscale.leases.terms import RENEWALS, Task
 from flaxscale.proto import catalogue_pb2 as pb
 from flaxscale.rules.duties import done_again, one_at_a_time
-from flaxscale.site.load import shape
+from flaxscale.site.load import decode_as
 from flaxscale.site.shapes import Site, faults
 from flaxscale.store.faulty import Crash, FaultyFiles
 from tests.rig import TERMS, Rows
@@ -45,9 +45,9 @@
 
     def test_a_site_names_duties_that_there_are_with_figures_that_go_together(self):
         def found(duties):
-            return [key for key, _ in faults(shape("test", TERMS.rstrip()[:-1] + f', "duties": {duties}}}', Site))]
+            return [key for key, _ in faults(decode_as("test", TERMS.rstrip()[:-1] + f', "duties": {duties}}}', Site))]
 
-        self.assertEqual({}, shape("test", TERMS, Site).duties)
+        self.assertEqual({}, decode_as("test", TERMS, Site).duties)
         self.assertEqual([], found('{"compact": {"period_s": 5}}'))
         self.assertEqual(["duties.sing"], found('{"sing": {}}'))
         self.assertEqual(["duties.floors.span_s"], found('{"floors": {"span_s": 1, "step_s": 2}}'))
@@ -143,12 +143,12 @@
 
     async def hear(self, service, told, **said):
         """One message, its writes made at once in place of 2 ms later."""
-        job = asyncio.ensure_future(service.hear(pb.WatchRequest(name="m", **said), told.append))
+        job = asyncio.ensure_future(service.handle(pb.WatchRequest(name="m", **said), told.append))
         while not job.done():
             await asyncio.wait({job}, timeout=0)
-            if service.settling is not None:
-                service.settling.cancel()
-                service.settle()
+            if service.commit_timer is not None:
+                service.commit_timer.cancel()
+                service.commit()
         job.result()
 
     async def course(self, disk):
--- a/tests/test_peaks_service.py
+++ b/tests/test_peaks_service.py
@@ -14,7 +14,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from flaxscale.catalogue.state import HOLDING, Behind, Put
+from flaxscale.catalogue.state import HOLDING, Put, VersionConflict
 from flaxscale.peaks import wire
 from flaxscale.peaks.announce import Announcement, BoxRoom
 from flaxscale.peaks.axis import Axis
@@ -55,7 +55,7 @@
             with self.assertRaisesRegex(Refused, said):
                 act()
         self.assertEqual((1, {"eid": peak()}), (book.version, book.peaks))
-        with self.assertRaises(Behind):
+        with self.assertRaises(VersionConflict):
             book.cancel("eid", FRAME, 500.0, expect=0)
         book.change("eid", {"rate": 3.5, "end_s": 1100.0}, FRAME, 500.0)
         self.assertEqual((2, 3.5, 1100.0), (book.version, book.peaks["eid"].rate, book.peaks["eid"].end_s))
@@ -252,14 +252,14 @@
         await self.taken(1)
         await asyncio.gather(*(self.ask("cam", front=0) for _ in range(3)))
         peaks, told = self.service.peaks, asyncio.get_running_loop().create_future()
-        hear = peaks.hear
+        hear = peaks.receive
 
         def heard(m, said):
             hear(m, said)
             if m.name == "m0" and any(s.came == 6.0 for s in m.seen) and not told.done():
                 told.set_result(None)
 
-        peaks.hear = heard
+        peaks.receive = heard
         await asyncio.wait_for(told, 10)
         async with grpc.aio.insecure_channel(self.catalogue) as channel:
             reply = await pb_grpc.PeaksStub(channel).List(pb.ListRequest(), timeout=5.0)
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -3,18 +3,18 @@
 import random
 import unittest
 
-from flaxscale.catalogue.plan import Question, Shelf, carried, plan, proportional
+from flaxscale.catalogue.plan import BoxCapacity, PlanRequest, carried_value, plan, proportional_copies
 
 
 def question(boxes=6, titles=8, moves=4, room=12, load=0.8, seed=1, **more):
     dice = random.Random(seed)
-    shelves = tuple(Shelf(n + 1, 1000.0 + 100 * (n % 3), n % 2, room) for n in range(boxes))
+    shelves = tuple(BoxCapacity(n + 1, 1000.0 + 100 * (n % 3), n % 2, room) for n in range(boxes))
     links = sum(b.link_kb for b in shelves)
     demand = {f"t{n}": 1.0 / (n + 1) for n in range(titles)}
     demand = {t: load * links * d / sum(demand.values()) for t, d in demand.items()}
     held = {t: set(dice.sample([b.id for b in shelves], 3)) for t in demand}
     uplinks = {rack: 0.9 * sum(b.link_kb for b in shelves if b.rack == rack) for rack in (0, 1)}
-    return Question(shelves, uplinks, demand, {}, moves, **more), held
+    return PlanRequest(shelves, uplinks, demand, {}, moves, **more), held
 
 
 class Plans(unittest.TestCase):
@@ -30,7 +30,7 @@
             self.assertTrue(all(len(b) >= 3 and len({x % 2 for x in b}) == 2 for b in after.values()), after)
             self.assertTrue(all(sum(n in b for b in after.values()) <= 12 for n in range(1, 7)))
             self.assertGreaterEqual(found.after + 1e-6, found.before)
-            self.assertAlmostEqual(found.after, carried(q, after)[0], 4)
+            self.assertAlmostEqual(found.after, carried_value(q, after)[0], 4)
 
     def test_the_crowded_title_gets_the_copies(self):
         q, held = question(moves=5, load=0.5)
@@ -54,7 +54,7 @@
 
     def test_the_baseline_keeps_to_room_and_spread(self):
         q, held = question(room=8, copies=2)
-        found = proportional(q, held)
+        found = proportional_copies(q, held)
         self.assertTrue(all(sum(n in b for b in found.values()) <= 8 for n in range(1, 7)))
         self.assertTrue(all(len({x % 2 for x in b}) == 2 for b in found.values()))
         self.assertGreaterEqual(len(found["t0"]), len(found["t7"]))
--- a/tests/test_seats.py
+++ b/tests/test_seats.py
@@ -7,7 +7,7 @@
 from flaxscale import interface
 from flaxscale.front.front import Front
 from flaxscale.members.seats import DRIFT, SeatBook
-from flaxscale.site.terms import Sense
+from flaxscale.site.terms import ManagerSite
 from tests.drive import Drive, S, pack
 from tests.rig import Rig, Rows, Talking
 from tests.test_day import Played
@@ -95,7 +95,7 @@
 
         for rows in self.box_rows.values():
             rows.waiting.append((watch, asyncio.get_running_loop().create_future()))
-        front, log = Front(Sense(self.site, 0, 0, 8), Rows(), "%s:%d" % self.list.address, self.folder.name), None
+        front, log = Front(ManagerSite(self.site, 0, 0, 8), Rows(), "%s:%d" % self.list.address, self.folder.name), None
         front.lines = front.boxes.log = log = Rows()
         front.follower.log = log
         self.fronts.append(front)
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -7,7 +7,7 @@
 from flaxscale.lab.day import arrivals
 from flaxscale.lab.shapes import read_day
 from flaxscale.site.load import SiteError
-from flaxscale.site.terms import Sense, read_site
+from flaxscale.site.terms import ManagerSite, read_site
 
 EXAMPLES = pathlib.Path(__file__).parents[1] / "examples"
 
@@ -68,12 +68,12 @@
 
     def test_the_examples_become_terms(self):
         for name in ("boats", "depot-clips", "cards"):
-            sense = Sense(read_site(EXAMPLES / f"{name}.jsonnet"), me=1, zone=0, seed=5)
+            sense = ManagerSite(read_site(EXAMPLES / f"{name}.jsonnet"), me=1, zone=0, seed=5)
             terms = sense.terms
             self.assertEqual((1, 5), (terms.manager_number, terms.seed))
             self.assertEqual(len(sense.site.packages), len(terms.packages))
             self.assertTrue(all(p.top < len(terms.ladder.kb) for p in terms.packages))
-        boats = Sense(read_site(EXAMPLES / "boats.jsonnet"))
+        boats = ManagerSite(read_site(EXAMPLES / "boats.jsonnet"))
         self.assertEqual([30_000, 20_000, 300_000], [boats.patience(0, wait) for wait in (None, 2, 999)])
 
     def test_a_seed_gives_the_same_demand_twice_and_another_gives_other(self):
--- a/tests/test_stragglers.py
+++ b/tests/test_stragglers.py
@@ -318,7 +318,7 @@
         port = self.run_.catalogue.address[1]
         for n in range(6):
             async with Client("%s:%d" % self.run_.catalogue.address) as client:
-                order = {"ops": [Seats("quay-cam", "dock-live", 3 + n)], "id": f"order-{n}", "again_s": LIMIT}
+                order = {"ops": [Seats("quay-cam", "dock-live", 3 + n)], "id": f"order-{n}", "retry_for_s": LIMIT}
                 asked = asyncio.ensure_future(client.change(**order))
                 if n % 3 == 1:  # killed before it may have heard, once it made it, once answered
                     await self.written(lambda: f'"version":{n + 2},' in (self.out / "catalogue.jsonl").read_text())
@@ -343,7 +343,7 @@
                 replies = [await client.call("Change", order, stub=client.peaks)]
                 await self.run_.catalogue.kill()
                 await self.run_.start_catalogue(port)
-                replies.append(await client.call("Change", order, stub=client.peaks, again_s=LIMIT))
+                replies.append(await client.call("Change", order, stub=client.peaks, retry_for_s=LIMIT))
                 self.assertEqual([(n + 1, [])] * 2, [(r.version, list(r.faults)) for r in replies])
 
     async def test_boxes_that_forget_the_floor_are_found_by_the_judge(self):
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -7,9 +7,9 @@
 import unittest
 
 from flaxscale.site.change import refusals
-from flaxscale.site.load import SiteError, shape
+from flaxscale.site.load import SiteError, decode_as
 from flaxscale.site.shapes import Site
-from flaxscale.site.terms import Sense, checked, read_site
+from flaxscale.site.terms import ManagerSite, checked, read_site
 from tests.rig import Rig, patient
 from tests.test_day import ROOT, Played, flaxscale
 
@@ -37,7 +37,7 @@
         return json.dumps({**json.loads(self.terms), "managers": 1})
 
     def put(self, text):
-        self.fronts[0].reread = lambda: checked("site.json", shape("site.json", text, Site))
+        self.fronts[0].reread = lambda: checked("site.json", decode_as("site.json", text, Site))
 
     async def load(self, token="ours"):
         return await self.operate("/settings/reload", token)
@@ -152,7 +152,7 @@
         self.assertIn("5 rates as now", found["ladder.kb"])
 
     def test_old_files_mean_what_they_meant(self):
-        terms = Sense(read_site(EXAMPLES / "boats.jsonnet")).terms
+        terms = ManagerSite(read_site(EXAMPLES / "boats.jsonnet")).terms
         self.assertEqual(
             (("link",), False, True, False, 0),
             (
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -7,9 +7,9 @@
 from hypothesis import strategies as st
 
 from flaxscale.catalogue import digest
-from flaxscale.catalogue.keep import Keeper
-from flaxscale.catalogue.spread import Follower, Watcher, Whole
-from flaxscale.catalogue.state import HOLDING, Delta, Frame, Put, Title
+from flaxscale.catalogue.durable import DurableCatalogue
+from flaxscale.catalogue.replication import Follower, SnapshotPart, Watcher
+from flaxscale.catalogue.state import HOLDING, Delta, Put, SiteLimits, Title
 from flaxscale.members import wire
 from flaxscale.members.adopt import Session, plan
 from flaxscale.members.swim import News, State, Swim
@@ -23,7 +23,7 @@
 from flaxscale.versions.bringup import AT_ONCE, BYTES, NUDGE, NUDGE_AGAIN, BringUp, Giver
 from flaxscale.versions.floor import At, FloorBook, Watching, by_rule, objection
 
-FRAME = Frame({"clip": 0}, frozenset(), 3)
+FRAME = SiteLimits({"clip": 0}, frozenset(), 3)
 
 
 def title(name, *boxes):
@@ -64,24 +64,24 @@
 
     def test_a_floor_is_a_version_durable_and_spread_as_one(self):
         files = FaultyFiles()
-        keeper = Keeper(files, FRAME)
+        keeper = DurableCatalogue(files, FRAME)
         keeper.stage([Put("one", "clip", holders={"1": HOLDING})])
-        keeper.settle()
+        keeper.commit()
         watcher, follower = Watcher("m0", "manager", "e", None, "e"), Follower()
-        follower.whole("e", watcher.next(keeper))
+        follower.apply_part("e", watcher.next_message(keeper))
         for bad in (0, 2):
             with self.assertRaises(ValueError):
                 keeper.stage_floor(bad)
         self.assertEqual(Delta(2, {}, 1), keeper.stage_floor(1))
-        self.assertIsNone(watcher.next(keeper))  # not told before it is durable
-        keeper.settle()
-        self.assertEqual({}, follower.delta("e", watcher.next(keeper)))
+        self.assertIsNone(watcher.next_message(keeper))  # not told before it is durable
+        keeper.commit()
+        self.assertEqual({}, follower.apply_delta("e", watcher.next_message(keeper)))
         self.assertEqual((2, 1), (follower.version, follower.floor))
         self.assertIsNone(keeper.stage_floor(1))
-        again = Keeper(FaultyFiles(files.written), FRAME)
+        again = DurableCatalogue(FaultyFiles(files.written), FRAME)
         late = Follower()
-        late.whole("e", Watcher("m1", "manager", "", None, "e").next(again))
-        self.assertEqual((2, 1, follower.sum), (late.version, late.floor, late.sum))
+        late.apply_part("e", Watcher("m1", "manager", "", None, "e").next_message(again))
+        self.assertEqual((2, 1, follower.digest), (late.version, late.floor, late.digest))
 
 
 class Digests(unittest.TestCase):
@@ -92,9 +92,9 @@
         follower.load("e", 0, {})
         for n, (name, box) in enumerate(changes):
             made = {name: title(name, box) if box else None}
-            follower.delta("e", Delta(n + 1, made))
+            follower.apply_delta("e", Delta(n + 1, made))
             titles.update(made)
-        self.assertEqual(digest.of(t for t in titles.values() if t is not None), follower.sum)
+        self.assertEqual(digest.total(t for t in titles.values() if t is not None), follower.digest)
 
 
 class Behind(unittest.TestCase):
@@ -220,8 +220,8 @@
         self.ours.load("e", 1, {"a": title("a", 1)})
         for n, change in enumerate(({"b": title("b", 2)}, {"a": None}, {}), 2):
             self.recent.append(Delta(n, change, 3 if n == 4 else 0))
-            self.giver.delta("e", self.recent[-1])
-        self.told = handing.Told({"m2": self.giver.sum}, True)
+            self.giver.apply_delta("e", self.recent[-1])
+        self.told = handing.Told({"m2": self.giver.digest}, True)
 
     def changes(self, since=1):
         return handing.changes("m1", self.giver, self.recent, "e", since)
@@ -234,10 +234,10 @@
             follower.load("e", 1, {"a": title("a", 1)})
             epoch, messages = handing.taken(data, follower, "e", self.told)
             for m in messages:
-                (follower.whole if isinstance(m, Whole) else follower.delta)(epoch, m)
+                (follower.apply_part if isinstance(m, SnapshotPart) else follower.apply_delta)(epoch, m)
             self.assertEqual(
-                (4, 3, self.giver.sum, {"b": title("b", 2)}),
-                (follower.version, follower.floor, follower.sum, follower.titles),
+                (4, 3, self.giver.digest, {"b": title("b", 2)}),
+                (follower.version, follower.floor, follower.digest, follower.titles),
             )
         for since in (-1, 5):
             self.assertIsNone(self.changes(since))
@@ -259,12 +259,12 @@
                 _, messages = handing.taken(bytes(flipped), self.ours, "e", self.told)
             except handing.Refused:
                 continue
-            total = self.ours.sum
+            total = self.ours.digest
             titles = dict(self.ours.titles)
             for m in messages:
-                total = digest.moved(total, titles, m.titles)
+                total = digest.updated(total, titles, m.titles)
                 titles.update(m.titles)
-            self.assertEqual(self.giver.sum, total)
+            self.assertEqual(self.giver.digest, total)
         self.assertEqual(
             (True, "version 4 with a digest that m2 tell otherwise"), why(data, told=handing.Told({"m2": 5}, True))
         )
@@ -402,12 +402,12 @@
 
 class PutBack(unittest.IsolatedAsyncioTestCase):
     async def test_a_store_older_than_what_was_told_begins_an_epoch(self):
-        from flaxscale.catalogued.service import Service
+        from flaxscale.catalogued.service import CatalogueService
         from tests.rig import Rows
 
         with tempfile.TemporaryDirectory() as folder:
-            service = Service(Files(folder), FRAME, Rows(), fleet=FleetRow(1, 1, {}, 1, 1))
+            service = CatalogueService(Files(folder), FRAME, Rows(), fleet=FleetRow(1, 1, {}, 1, 1))
             first = service.epoch
-            service.outlived("m0", 9)
+            service.start_new_epoch("m0", 9)
             self.assertNotEqual(first, service.epoch)
-            self.assertEqual(service.epoch, Service(Files(folder), FRAME, Rows()).epoch)
+            self.assertEqual(service.epoch, CatalogueService(Files(folder), FRAME, Rows()).epoch)
