--- a/flaxscale/catalogue/__init__.py
+++ b/flaxscale/catalogue/__init__.py
@@ -1,1 +1,1 @@
-"""The live catalogue: titles, renditions and holders that change in service. State here is pure; I/O is handed in."""
+"""The live catalogue: titles, renditions and holders that change in service. Pure state; I/O objects are passed in."""
--- a/flaxscale/catalogue/durable.py
+++ b/flaxscale/catalogue/durable.py
@@ -1,112 +1,115 @@
-"""The service's catalogue on its durable log: a change is acknowledged when it is durable, and not before."""
+"""The service's catalogue and its durable log: a change is acknowledged only once it is durable."""
 
 from ..store.log import Log
-from .state import Catalogue, Delta, decode_delta, decode_whole, encode_delta, encode_whole, undo
+from .state import Catalogue, Delta, decode_delta, decode_snapshot, encode_delta, encode_snapshot, undo
 
-SNAPSHOT_EVERY = 2_000  # changes; a start reads at most so many after its snapshot
-DONE = 20_000  # changes that are known by their clients' ids
-HISTORY = 20_000  # versions that a watcher may have been away for and still get as deltas
+SNAPSHOT_EVERY = 2_000  # changes; bounds the log records that are read at start
+KEPT_IDS = 20_000  # client ids of changes that are remembered
+KEPT_VERSIONS = 20_000  # versions that are still available as deltas
 
 
 class DurableCatalogue:
-    """One writer. stage() any number of changes, then commit(): what it returned from is durable."""
+    """A catalogue with one writer: stage() any number of changes, then commit() makes them durable together."""
 
-    def __init__(self, files, frame):
+    def __init__(self, files, limits):
         self.log = Log(files)
         found = self.log.found
-        version, titles, floor, done = decode_whole(found.snapshot) if found.snapshot is not None else (0, {}, 0, [])
-        self.now = Catalogue(frame, version, titles, floor)
-        self.history = {}  # version: (Delta, who, why, titles before)
-        self.done = {id: (version, changed) for id, version, changed in done}  # by the client's own id
+        version, titles, floor, done = decode_snapshot(found.snapshot) if found.snapshot is not None else (0, {}, 0, [])
+        self.current = Catalogue(limits, version, titles, floor)
+        self.history = {}  # version: (Delta, who, why, the changed titles before it)
+        # client's id of a change: (version, titles changed)
+        self.changes_by_id = {id: (version, changed) for id, version, changed in done}
         for _, content in found.records:
             delta, who, why, id = decode_delta(content)
-            if delta.version != self.now.version + 1:
-                raise ValueError(f"change {delta.version} follows version {self.now.version} in the log")
-            self.note(delta, who, why, self.now.titles)
-            self.now.take(delta)
-            self.did(id, delta)
-        self.settled, self.staged, self.floor = self.now.version, 0, self.now.floor
-
-    def note(self, delta, who, why, before):
-        """Remembers a version and what its titles were before, for those who were away and for undoing."""
+            if delta.version != self.current.version + 1:
+                raise ValueError(f"change {delta.version} follows version {self.current.version} in the log")
+            self.remember_version(delta, who, why, self.current.titles)
+            self.current.apply_delta(delta)
+            self.remember_id(id, delta)
+        self.committed_version, self.staged, self.floor = self.current.version, 0, self.current.floor
+
+    def remember_version(self, delta, who, why, before):
+        """Stores a version and the titles it replaced, for watchers that reconnect and for rollback."""
         self.history[delta.version] = delta, who, why, {name: before.get(name) for name in delta.titles}
-        if len(self.history) > HISTORY:
+        if len(self.history) > KEPT_VERSIONS:
             del self.history[next(iter(self.history))]
 
-    def did(self, id, delta):
-        """A client that got no answer asks again under the same id: its change is made once."""
+    def remember_id(self, id, delta):
+        """Stores a client's change id, so that a repeated request does not make the change twice."""
         if id:
-            self.done[id] = delta.version, len(delta.titles)
-            if len(self.done) > DONE:
-                del self.done[next(iter(self.done))]
+            self.changes_by_id[id] = delta.version, len(delta.titles)
+            if len(self.changes_by_id) > KEPT_IDS:
+                del self.changes_by_id[next(iter(self.changes_by_id))]
 
     def stage(self, ops, expect=None, in_use=None, force=False, who="", why="", id=""):
-        """Applies a change in memory; the Delta. Nobody may hear of it before commit()."""
-        before = {op.name: self.now.titles.get(op.name) for op in ops}
-        delta = self.now.apply(ops, expect, in_use, force)
+        """Applies a change in memory and returns its Delta, which must not be published before commit()."""
+        before = {op.name: self.current.titles.get(op.name) for op in ops}
+        delta = self.current.apply(ops, expect, in_use, force)
         if not delta.titles:
             return delta
-        self.note(delta, who, why, before)
+        self.remember_version(delta, who, why, before)
         self.log.append(encode_delta(delta, who, why, id))
-        self.did(id, delta)
+        self.remember_id(id, delta)
         self.staged += 1
         return delta
 
     def stage_floor(self, floor, who="", why="", id=""):
-        """Raises the floor, as a version of its own that changes no title; the Delta, or None where it stands higher.
+        """Raises the floor in a version that changes no title. Returns its Delta, or None if the floor is not lower.
 
-        ValueError: there is no such version yet.
+        ValueError: the version does not exist yet.
         """
-        if not 0 < floor <= self.now.version:
-            raise ValueError(f"a floor of 1 to {self.now.version}, the versions that there are, expected: {floor}")
-        if floor <= self.now.floor:
+        if not 0 < floor <= self.current.version:
+            raise ValueError(f"a floor of 1 to {self.current.version}, an existing version, expected: {floor}")
+        if floor <= self.current.floor:
             return None
-        delta = Delta(self.now.version + 1, {}, floor)
-        self.note(delta, who, why, self.now.titles)
-        self.now.take(delta)
+        delta = Delta(self.current.version + 1, {}, floor)
+        self.remember_version(delta, who, why, self.current.titles)
+        self.current.apply_delta(delta)
         self.log.append(encode_delta(delta, who, why, id))
-        self.did(id, delta)
+        self.remember_id(id, delta)
         self.staged += 1
         return delta
 
     def commit(self):
-        """Makes all that was staged durable; returns the version that is. OSError: nothing of it may be told."""
+        """Makes all staged changes durable and returns the version. OSError: none of them may be published."""
         self.log.commit()
-        self.settled, self.staged, self.floor = self.now.version, 0, self.now.floor
+        self.committed_version, self.staged, self.floor = self.current.version, 0, self.current.floor
         if self.log.since_snapshot >= SNAPSHOT_EVERY:
             self.compact()
-        return self.settled
+        return self.committed_version
 
     def compact(self):
-        """The state whole; the records before it go. OSError: nothing more is taken. Not while something is staged."""
+        """Replaces the log by a snapshot, unless changes are staged. OSError: the log takes no more records."""
         if not self.staged:
-            self.log.snapshot(self.whole())
+            self.log.snapshot(self.encoded_state())
 
-    def whole(self):
-        done = [(id, *what) for id, what in self.done.items()]
-        return encode_whole(self.now.version, self.now.titles, self.now.floor, done)
+    def encoded_state(self):
+        """The complete state as bytes, for a snapshot."""
+        done = [(id, *change) for id, change in self.changes_by_id.items()]
+        return encode_snapshot(self.current.version, self.current.titles, self.current.floor, done)
 
     def resume(self):
-        """After a fault: all that was taken is durable when it returns, also what nobody was told of. OSError: not yet.
+        """Rewrites the store after a write error. All applied changes are then durable, unpublished ones included.
 
-        Whoever asked for that was told that it is not known; asked again under the same id it is made once.
+        Clients of the unpublished changes were answered that the outcome is unknown; a repeated request with the same
+        id does not make the change twice. OSError: the store still fails.
         """
-        self.log.resume(self.whole())
-        self.settled, self.staged, self.floor = self.now.version, 0, self.now.floor
-        return self.settled
+        self.log.resume(self.encoded_state())
+        self.committed_version, self.staged, self.floor = self.current.version, 0, self.current.floor
+        return self.committed_version
 
-    def since(self, version):
-        """Deltas after a version up to the settled one, or None where they are no longer all known."""
-        if version > self.settled or (version < self.settled and version + 1 not in self.history):
+    def deltas_since(self, version):
+        """Deltas after a version up to the committed one; None where some are no longer stored."""
+        if version > self.committed_version or (version < self.committed_version and version + 1 not in self.history):
             return None
-        return [self.history[v][0] for v in range(version + 1, self.settled + 1)]
+        return [self.history[v][0] for v in range(version + 1, self.committed_version + 1)]
 
     def titles_at(self, version):
-        """The titles of an earlier version, by undoing; None where it is too long ago."""
-        if not 0 <= version <= self.now.version:
+        """The titles at an earlier version, by undoing later ones; None where some are no longer stored."""
+        if not 0 <= version <= self.current.version:
             return None
-        titles = dict(self.now.titles)
-        for v in range(self.now.version, version, -1):
+        titles = dict(self.current.titles)
+        for v in range(self.current.version, version, -1):
             if v not in self.history:
                 return None
             for name, title in self.history[v][3].items():
@@ -116,7 +119,7 @@
                     titles[name] = title
         return titles
 
-    def back_to(self, version):
-        """Operations that make the catalogue what it was at a version; None where that is too long ago."""
-        old = self.titles_at(version)
-        return None if old is None else undo(old, self.now.titles)
+    def rollback_ops(self, version):
+        """Operations that restore the titles of a version; None where it is no longer available."""
+        earlier = self.titles_at(version)
+        return None if earlier is None else undo(earlier, self.current.titles)
--- a/flaxscale/catalogue/files.py
+++ b/flaxscale/catalogue/files.py
@@ -1,15 +1,15 @@
-"""Catalogues as files: Jsonnet for people, Parquet for large ones; and the operations that make one so."""
+"""Catalogues in files: Jsonnet for hand-written ones, Parquet for large ones; and change sets."""
 
 import pathlib
 
 import msgspec
 
 from ..site.load import SiteError, decode_as, evaluate_jsonnet
-from .state import HOLDING, Drop, Op, Put, put_of
+from .state import HOLDING, Drop, Op, Put, put_from_title
 
 
 class TitleRow(msgspec.Struct, forbid_unknown_fields=True):
-    """One title of a Jsonnet file. holders: a list of boxes that hold it, or box to state."""
+    """One title in a Jsonnet file. holders: a list of boxes that hold it, or a mapping of box to state."""
 
     view: str | None = None
     push: str | None = None
@@ -21,11 +21,13 @@
 
 
 class CatalogueFile(msgspec.Struct, forbid_unknown_fields=True):
+    """A Jsonnet catalogue file."""
+
     titles: dict[str, TitleRow]
 
 
 def read_catalogue(file):
-    """A list of Puts. SiteError names file and key, or row and column of a Parquet file."""
+    """A Put for each title in the file. SiteError names the file and the key, or the row and column in Parquet."""
     if pathlib.Path(file).suffix == ".parquet":
         return read_parquet(file)
     rows = decode_as(file, evaluate_jsonnet(file), CatalogueFile).titles
@@ -48,19 +50,19 @@
 
 
 def read_parquet(file):
-    """One row a title: name, view, push (strings), low, top (whole numbers), codecs, holders (lists)."""
+    """Reads a Parquet catalogue: one row for each title, with the columns COLUMNS."""
     import pyarrow
     import pyarrow.parquet
 
     try:
         table = pyarrow.parquet.read_table(file)
-    except (OSError, pyarrow.ArrowException) as bad:
-        raise SiteError(file, "", f"can't be read as Parquet: {str(bad)[:200]}") from None
-    if odd := [name for name in table.column_names if name not in COLUMNS]:
-        raise SiteError(file, odd[0], f"no column of a catalogue; they are {', '.join(COLUMNS)}")
+    except (OSError, pyarrow.ArrowException) as error:
+        raise SiteError(file, "", f"can't be read as Parquet: {str(error)[:200]}") from None
+    if unknown := [name for name in table.column_names if name not in COLUMNS]:
+        raise SiteError(file, unknown[0], f"not a column of a catalogue, which are {', '.join(COLUMNS)}")
     if "name" not in table.column_names or "holders" not in table.column_names:
-        raise SiteError(file, "columns", "name and holders expected at least")
-    columns, seen, out = {name: table[name].to_pylist() for name in table.column_names}, {}, []
+        raise SiteError(file, "columns", "at least name and holders expected")
+    columns, row_numbers, puts = {name: table[name].to_pylist() for name in table.column_names}, {}, []
     for n, name in enumerate(columns["name"]):
         row = {key: values[n] for key, values in columns.items()}
         for key, kind in COLUMNS.items():
@@ -68,12 +70,12 @@
                 raise SiteError(file, f"row {n}, column {key}", f"{kind.__name__} expected")
         if name is None or row["holders"] is None:
             raise SiteError(file, f"row {n}", "name and holders expected")
-        if name in seen:
-            raise SiteError(file, f"row {n}, column name", f"{name[:60]!r} stands in row {seen[name]} too")
-        seen[name] = n
+        if name in row_numbers:
+            raise SiteError(file, f"row {n}, column name", f"{name[:60]!r} is in row {row_numbers[name]} too")
+        row_numbers[name] = n
         if not all(isinstance(b, int) for b in row["holders"]):
             raise SiteError(file, f"row {n}, column holders", "box ids expected")
-        out.append(
+        puts.append(
             Put(
                 name,
                 row.get("view"),
@@ -85,10 +87,11 @@
                 {str(b): HOLDING for b in row["holders"]},
             )
         )
-    return out
+    return puts
 
 
 def write_parquet(file, titles):
+    """Writes titles as a Parquet catalogue; of the holders only those that hold."""
     import pyarrow
     import pyarrow.parquet
 
@@ -111,12 +114,12 @@
 
 
 def read_ops(file):
-    """A change set: a Jsonnet file with a list of operations, as docs/operators/catalogue.md shows them."""
+    """Reads a change set: a Jsonnet file with a list of operations (docs/operators/catalogue.md)."""
     return decode_as(file, evaluate_jsonnet(file), list[Op])
 
 
-def ops_to(titles, puts, keep=False):
-    """The operations that make `titles` what the Puts say; without keep, what they don't name is dropped."""
+def ops_to_reach(titles, puts, keep=False):
+    """The operations that turn `titles` into the Puts' titles. Titles without a Put are dropped, or stay with keep."""
     named = {p.name for p in puts}
-    ops = [p for p in puts if p.name not in titles or put_of(titles[p.name]) != p]
+    ops = [p for p in puts if p.name not in titles or put_from_title(titles[p.name]) != p]
     return ops + ([] if keep else [Drop(name) for name in titles if name not in named])
--- a/flaxscale/catalogue/replication.py
+++ b/flaxscale/catalogue/replication.py
@@ -1,20 +1,22 @@
-"""One way to spread a versioned state: what a service owes each watcher, and what a watcher takes. No I/O.
+"""Replication of the versioned catalogue: what the service sends to a watcher, and how a follower applies it. No I/O.
 
-A watcher says what it holds; it gets deltas from there, or the whole in parts where they are no longer known or it
-holds what this service never had. It acknowledges each version it took, or refuses one with its reason and keeps the
-last good one; after a refusal it gets nothing more until a later version, as a whole, may mend it. Epochs tell two
-services' (or two lives' of a restored one) versions apart.
+A watcher states its epoch and version. It gets the deltas after that version, or a snapshot in parts where deltas are
+no longer stored or its version is of another epoch. It acknowledges each applied version, or refuses one with a reason
+and keeps the last good one; after a refusal it gets nothing until a later version, as a snapshot. An epoch identifies
+one store: versions of another service, or of a store restored from an older copy, have another epoch.
 """
 
 from typing import NamedTuple
 
 from . import digest
 
-PART = 2_000  # titles in one part of a whole
-AHEAD = 64  # messages that a watcher may be behind with its acknowledgements
+PART = 2_000  # titles in one part of a snapshot
+MAX_UNACKED = 64  # messages sent to a watcher without an acknowledgement
 
 
 class SnapshotPart(NamedTuple):
+    """A part of the complete catalogue at one version."""
+
     version: int
     titles: tuple
     first: bool
@@ -23,58 +25,64 @@
 
 
 class Watcher:
-    """The service's side of one watcher. next() gives the next message to send, or None."""
+    """The service's state of one watcher."""
 
-    def __init__(self, name, role, epoch, version, ours):
+    def __init__(self, name, role, epoch, version, own_epoch):
         self.name, self.role = name, role
-        self.sent = version if epoch == ours else None  # the version that all we sent amounts to
-        self.acked, self.refused, self.why = version if epoch == ours else None, None, ""
-        self.parts, self.unacked, self.in_use, self.heard_at = None, 0, {}, None
+        self.sent_version = version if epoch == own_epoch else None  # version that the messages sent so far lead to
+        self.acked, self.refused, self.why = version if epoch == own_epoch else None, None, ""
+        self.pending_parts, self.unacked, self.in_use, self.last_received_at = None, 0, {}, None
 
-    def next_message(self, keeper):
-        """What to send now. None: nothing, or it has enough in its hands."""
-        if self.parts is not None:
+    def next_message(self, catalogue):
+        """The next message to send; None where there is none or too many are unacknowledged."""
+        if self.pending_parts is not None:
             return self.next_part()
-        if self.unacked >= AHEAD or (self.refused is not None and keeper.settled <= self.refused):
+        if self.unacked >= MAX_UNACKED or (self.refused is not None and catalogue.committed_version <= self.refused):
             return None
-        deltas = keeper.since(self.sent) if self.sent is not None and self.refused is None else None
+        deltas = (
+            catalogue.deltas_since(self.sent_version)
+            if self.sent_version is not None and self.refused is None
+            else None
+        )
         if deltas is None:
             self.refused, self.why = None, ""
             titles = (
-                list(keeper.now.titles.values())
-                if keeper.staged == 0
-                else list(keeper.titles_at(keeper.settled).values())
+                list(catalogue.current.titles.values())
+                if catalogue.staged == 0
+                else list(catalogue.titles_at(catalogue.committed_version).values())
             )
             parts = [titles[n : n + PART] for n in range(0, len(titles), PART)] or [[]]
-            self.parts = keeper.settled, parts, 0, keeper.floor
+            self.pending_parts = catalogue.committed_version, parts, 0, catalogue.floor
             return self.next_part()
         if not deltas:
             return None
-        self.sent = deltas[0].version
+        self.sent_version = deltas[0].version
         self.unacked += 1
         return deltas[0]
 
     def next_part(self):
-        version, parts, n, floor = self.parts
+        """The next part of the snapshot that is being sent."""
+        version, parts, n, floor = self.pending_parts
         last = n + 1 == len(parts)
-        self.parts = None if last else (version, parts, n + 1, floor)
+        self.pending_parts = None if last else (version, parts, n + 1, floor)
         if last:
-            self.sent = version
+            self.sent_version = version
             self.unacked += 1
         return SnapshotPart(version, tuple(parts[n]), n == 0, last, floor)
 
     def ack(self, version):
+        """Records an acknowledged version."""
         self.unacked = max(0, self.unacked - 1)
         if self.acked is None or version > self.acked:
             self.acked = version
 
     def nack(self, version, why):
-        """It keeps its last good one. What it was sent since does not count."""
-        self.refused, self.why, self.unacked, self.sent = version, why[:500], 0, None
+        """Records a refused version. The watcher keeps its last good version and needs a snapshot next."""
+        self.refused, self.why, self.unacked, self.sent_version = version, why[:500], 0, None
 
 
 class Follower:
-    """The watcher's own side: takes messages in any order and from any service, and is at one version always.
+    """The watcher's copy of the catalogue. Messages may come in any order; the copy is always at one whole version.
 
     apply_delta() and apply_part() return the changed titles when the version moved and None when it did not. They
     raise VersionGap when only a new stream can help, and ValueError from check() when the version is refused; the last
@@ -82,18 +90,20 @@
     """
 
     def __init__(self, check=lambda titles: None):
-        self.check, self.epoch, self.version, self.titles, self.parts = check, None, None, {}, None
-        self.floor, self.digest = 0, 0  # the lowest version that may be acted on; of all titles, to compare by
+        self.check, self.epoch, self.version, self.titles, self.incoming_parts = check, None, None, {}, None
+        self.floor, self.digest = 0, 0  # floor: lowest version that may be acted on
 
     def load(self, epoch, version, titles, floor=0):
+        """Sets the state, as read from disk."""
         self.epoch, self.version, self.titles, self.floor = epoch, version, titles, floor
         self.digest = digest.total(titles.values())
 
     def apply_delta(self, epoch, delta):
+        """Applies the changes of the next version."""
         if epoch != self.epoch or self.version is None or delta.version > self.version + 1:
             raise VersionGap(f"version {delta.version} of {epoch} on {self.version} of {self.epoch}")
         if delta.version <= self.version:
-            return None  # told again
+            return None  # a repeat
         self.check(delta.titles)
         self.digest, self.floor = digest.updated(self.digest, self.titles, delta.titles), max(self.floor, delta.floor)
         for name, title in delta.titles.items():
@@ -105,19 +115,21 @@
         return delta.titles
 
     def apply_part(self, epoch, message):
-        """A part of a whole; it counts when the last part is there."""
+        """Takes a part of a snapshot; the snapshot is applied with its last part."""
         if message.first:
-            self.parts = epoch, message.version, {}, [0]
-        if self.parts is None or self.parts[:2] != (epoch, message.version):
-            self.parts = None
-            raise VersionGap(f"a part of version {message.version} without its beginning")
-        self.parts[2].update((t.name, t) for t in message.titles)
-        self.parts[3][0] += digest.total(message.titles)  # by part, so that a large one holds up nothing
+            self.incoming_parts = epoch, message.version, {}, [0]
+        if self.incoming_parts is None or self.incoming_parts[:2] != (epoch, message.version):
+            self.incoming_parts = None
+            raise VersionGap(f"a part of version {message.version} without the parts before it")
+        self.incoming_parts[2].update((t.name, t) for t in message.titles)
+        self.incoming_parts[3][0] += digest.total(
+            message.titles
+        )  # part by part: hashing a large snapshot at once would block the event loop
         if not message.last:
             return None
-        (_, version, titles, (total,)), self.parts = self.parts, None
+        (_, version, titles, (total,)), self.incoming_parts = self.incoming_parts, None
         if epoch == self.epoch and self.version is not None and version < self.version:
-            return None  # an old stream's; we are ahead of it
+            return None  # from an earlier stream; the copy is newer
         self.check(titles)
         old, self.titles = self.titles, titles
         self.floor = max(self.floor, message.floor) if epoch == self.epoch else message.floor
@@ -128,4 +140,4 @@
 
 
 class VersionGap(Exception):
-    """Something between is missing."""
+    """Messages between the copy's version and this one are missing."""
--- a/flaxscale/catalogue/state.py
+++ b/flaxscale/catalogue/state.py
@@ -1,8 +1,8 @@
-"""Titles and who holds them, as versions: a change set is all of it or none, checked against the whole state.
+"""Titles and their holders in versions. A change set is applied completely or not at all, after checks.
 
-A holder prepares (the clip is being copied there), holds, or leaves (no new set-ups, viewings play on); one that is
-gone is no holder. The state is a mapping of immutable titles, so that a version costs only what changed in it and
-any number of readers may keep an old one.
+A holder is a box that is preparing (the clip is being copied to it), holding, or leaving (no new set-ups, running
+viewings go on). The state is a mapping of immutable titles, so that a version costs only what it changes and readers
+can keep an earlier one.
 """
 
 from typing import NamedTuple
@@ -17,7 +17,7 @@
 
 
 class Title(msgspec.Struct, frozen=True, gc=False):
-    """One title. Packages are names; rungs are those that exist for it, low to top without a gap."""
+    """One title. Packages are given by name; its rungs are low to top, all of them."""
 
     name: str
     view: str | None
@@ -25,16 +25,16 @@
     low: int
     top: int
     codecs: tuple[str, ...]
-    seats: tuple[tuple[str, int], ...]  # by package, where they differ from the package's own
+    seats: tuple[tuple[str, int], ...]  # (package, seats), where they differ from the package's
     holders: tuple[tuple[int, str], ...]  # (box, state), by box
 
     def available_boxes(self):
-        """Boxes to which new set-ups may go."""
+        """Boxes that may get new set-ups."""
         return frozenset(box for box, state in self.holders if state == HOLDING)
 
 
 class Put(msgspec.Struct, frozen=True, tag="put", forbid_unknown_fields=True):
-    """A title as a whole: new, or in place of what it was (its holders too, where some are given)."""
+    """Creates or replaces a title. Its holders are replaced only where some are given."""
 
     name: str
     view: str | None = None
@@ -43,15 +43,17 @@
     top: int = 99
     codecs: tuple[str, ...] = ()
     seats: dict[str, int] = {}
-    holders: dict[str, str] | None = None  # box to state; None: as they were
+    holders: dict[str, str] | None = None  # box to state; None: unchanged
 
 
 class Drop(msgspec.Struct, frozen=True, tag="drop", forbid_unknown_fields=True):
+    """Removes a title."""
+
     name: str
 
 
 class Hold(msgspec.Struct, frozen=True, tag="hold", forbid_unknown_fields=True):
-    """One holder's state; gone takes it out."""
+    """Sets the state of one holder; "gone" removes the holder."""
 
     name: str
     box: int
@@ -59,7 +61,7 @@
 
 
 class Seats(msgspec.Struct, frozen=True, tag="seats", forbid_unknown_fields=True):
-    """Seats of one title in one package; None: the package's own again."""
+    """Sets the seats of one title in one package; None: the package's default."""
 
     name: str
     package: str
@@ -67,7 +69,7 @@
 
 
 class Rungs(msgspec.Struct, frozen=True, tag="rungs", forbid_unknown_fields=True):
-    """The rungs that exist for a title: a rendition comes or is withdrawn."""
+    """Sets the range of rungs of a title, as renditions are added or withdrawn."""
 
     name: str
     low: int
@@ -78,15 +80,17 @@
 
 
 class SiteLimits(NamedTuple):
-    """What of the site a catalogue must fit: floors and seats by package, and the number of rungs."""
+    """The site's settings that titles are checked against."""
 
-    floors: dict
+    floors: dict  # package: lowest rung
     seated: frozenset  # packages that have seats
     rungs: int
 
 
 class Fault(NamedTuple):
-    op: int  # number of the operation in the change set; -1: of the whole
+    """A fault in one operation of a change set."""
+
+    op: int  # index of the operation in the change set; -1: the change set itself
     title: str
     detail: str
 
@@ -95,7 +99,7 @@
 
 
 class Refused(Exception):
-    """The change set does not fit. Names every fault."""
+    """The change set has faults. The message has the first five, `faults` has all."""
 
     def __init__(self, faults):
         super().__init__(
@@ -105,7 +109,7 @@
 
 
 class VersionConflict(Exception):
-    """Another change came first: the change set was made for another version."""
+    """The change set was made for another version: another change was applied first."""
 
     def __init__(self, expected, version):
         super().__init__(f"made for version {expected}, the catalogue is at {version}")
@@ -113,24 +117,24 @@
 
 
 class Delta(NamedTuple):
-    """What one version changed: titles as they are now; None: dropped."""
+    """The changes of one version. titles: {name: the new Title, or None for a dropped one}."""
 
     version: int
     titles: dict
-    floor: int = 0  # the lowest version that may be acted on, where this version raises it
+    floor: int = 0  # lowest version that may be acted on, if this version raises it
 
 
 class Catalogue:
-    """A version and its titles. apply() gives the delta and moves on; a refused change leaves all as it was."""
+    """The titles at one version."""
 
-    def __init__(self, frame, version=0, titles=None, floor=0):
-        self.frame, self.version, self.titles, self.floor = frame, version, dict(titles or {}), floor
+    def __init__(self, limits, version=0, titles=None, floor=0):
+        self.limits, self.version, self.titles, self.floor = limits, version, dict(titles or {}), floor
 
     def apply(self, ops, expect=None, in_use=None, force=False):
-        """The Delta of a change set. Raises VersionConflict or Refused.
+        """Applies a change set and returns its Delta. After VersionConflict or Refused nothing has changed.
 
         expect: the version it was made for. in_use: {(title, package): seats in use at the manager that uses most};
-        seats are not lowered under it unless forced.
+        without force, seats can't be set below it.
         """
         if expect is not None and expect != self.version:
             raise VersionConflict(expect, self.version)
@@ -138,29 +142,32 @@
             raise Refused([Fault(-1, "", "an empty change set")])
         if len(ops) > OPS_LIMIT:
             raise Refused([Fault(-1, "", f"{len(ops)} operations; {OPS_LIMIT} at most")])
-        changed, faults, by = {}, [], {}
+        changed, faults, op_number = {}, [], {}
         for n, op in enumerate(ops):
             name = op.name
             before = changed[name] if name in changed else self.titles.get(name)
             try:
-                changed[name] = self.change(before, op)
-                by[name] = n
-            except ValueError as bad:
-                faults.append(Fault(n, name[:60], str(bad)))
+                changed[name] = self.apply_op(before, op)
+                op_number[name] = n
+            except ValueError as error:
+                faults.append(Fault(n, name[:60], str(error)))
         for name, title in changed.items():
             if title is not None:
-                faults += [Fault(by[name], name[:60], detail) for detail in self.check(title, in_use or {}, force)]
+                faults += [
+                    Fault(op_number[name], name[:60], detail)
+                    for detail in self.title_faults(title, in_use or {}, force)
+                ]
         if faults:
             raise Refused(sorted(faults))
         changed = {name: t for name, t in changed.items() if t != self.titles.get(name)}
         if not changed:
-            return Delta(self.version, {})  # nothing differs: no version for it
+            return Delta(self.version, {})  # no difference, so no new version
         delta = Delta(self.version + 1, changed)
-        self.take(delta)
+        self.apply_delta(delta)
         return delta
 
-    def take(self, delta):
-        """Moves on by a delta that was checked before."""
+    def apply_delta(self, delta):
+        """Applies a delta that has been checked."""
         self.version, self.floor = delta.version, max(self.floor, delta.floor)
         for name, title in delta.titles.items():
             if title is None:
@@ -168,10 +175,10 @@
             else:
                 self.titles[name] = title
 
-    def change(self, before, op):
-        """One title after one operation. ValueError: it has no sense."""
+    def apply_op(self, before, op):
+        """The title after one operation, or None if it is dropped. ValueError: the operation is not possible."""
         if isinstance(op, Put):
-            return self.put(before, op)
+            return self.put_title(before, op)
         if before is None:
             raise ValueError("no such title")
         if isinstance(op, Drop):
@@ -194,29 +201,30 @@
             else:
                 seats[op.package] = op.seats
             return msgspec.structs.replace(before, seats=tuple(sorted(seats.items())))
-        return msgspec.structs.replace(before, low=op.low, top=min(op.top, self.frame.rungs - 1))
+        return msgspec.structs.replace(before, low=op.low, top=min(op.top, self.limits.rungs - 1))
 
-    def put(self, before, op):
+    def put_title(self, before, op):
+        """The title that a Put creates. before: the present title or None."""
         if op.holders is None:
             holders = before.holders if before is not None else ()
         else:
-            if bad := [box for box in op.holders if not (box.isascii() and box.isdigit())]:
-                raise ValueError(f"{bad[0][:20]!r} is no box id")
+            if invalid := [box for box in op.holders if not (box.isascii() and box.isdigit())]:
+                raise ValueError(f"{invalid[0][:20]!r} is no box id")
             holders = tuple(sorted((int(box), state) for box, state in op.holders.items() if state != "gone"))
         return Title(
             op.name,
             op.view,
             op.push,
             op.low,
-            min(op.top, self.frame.rungs - 1),
+            min(op.top, self.limits.rungs - 1),
             op.codecs,
             tuple(sorted(op.seats.items())),
             holders,
         )
 
-    def check(self, t, in_use, force):
-        """What is wrong with a title as it would be; each sentence for people."""
-        frame = self.frame
+    def title_faults(self, t, in_use, force):
+        """Yields a description of each fault of a title as it would be after the change."""
+        limits = self.limits
         if not t.name or len(t.name) > NAME_LIMIT or not t.name.isprintable():
             yield f"a name of 1 to {NAME_LIMIT} printable characters is needed"
         if t.view is None and t.push is None:
@@ -224,12 +232,12 @@
         for use in (t.view, t.push):
             if use is None:
                 continue
-            if use not in frame.floors:
-                yield f"the package {use[:40]!r} is none of {', '.join(sorted(frame.floors))}"
-            elif t.top < frame.floors[use]:
-                yield f"no rendition at the floor of {use}: rung {frame.floors[use]}, the title's top is {t.top}"
+            if use not in limits.floors:
+                yield f"the package {use[:40]!r} is none of {', '.join(sorted(limits.floors))}"
+            elif t.top < limits.floors[use]:
+                yield f"no rendition at the floor of {use}: rung {limits.floors[use]}, the title's top is {t.top}"
         if not 0 <= t.low <= t.top:
-            yield f"rungs {t.low} to {t.top}: a rendition without a rung of the ladder's {frame.rungs}"
+            yield f"rungs {t.low} to {t.top}: a rendition without a rung of the ladder's {limits.rungs}"
         if len(t.codecs) > CODEC_LIMIT or any(not 0 < len(c) <= 40 for c in t.codecs):
             yield f"codecs: {CODEC_LIMIT} names of 1 to 40 characters at most"
         if not any(state != LEAVING for _, state in t.holders):
@@ -242,7 +250,7 @@
             if not 0 <= box < 1 << 32:
                 yield f"holder {box}: ids are 0 to 4294967295"
         for package, seats in t.seats:
-            if package not in frame.seated:
+            if package not in limits.seated:
                 yield f"seats in {package[:40]!r}, which has none"
             elif seats < 1:
                 yield f"{seats} seats in {package}; 1 or more"
@@ -251,7 +259,7 @@
 
 
 def diff(old, new):
-    """{title: (before, after)} of two mappings of titles."""
+    """{name: (title before, title after)} for the titles that differ between two mappings."""
     return {
         name: (old.get(name), new.get(name))
         for name in sorted(old.keys() | new.keys())
@@ -260,24 +268,26 @@
 
 
 def undo(old, new):
-    """The operations that take the mapping `new` back to `old`."""
+    """The operations that turn the mapping `new` into `old`."""
     ops = []
     for name, (before, after) in diff(old, new).items():
-        ops.append(Drop(name) if before is None else put_of(before))
+        ops.append(Drop(name) if before is None else put_from_title(before))
     return ops
 
 
-def put_of(t):
-    """A Put that makes a title just so."""
+def put_from_title(t):
+    """The Put that creates this title."""
     return Put(t.name, t.view, t.push, t.low, t.top, t.codecs, dict(t.seats), {str(b): s for b, s in t.holders})
 
 
-# How versions are kept and sent: msgpack, with a mark of its shape
+# Stored form of versions: msgpack arrays that begin with the number of their shape
 
 SHAPE = 1
 
 
-class KeptDelta(msgspec.Struct, array_like=True):
+class StoredDelta(msgspec.Struct, array_like=True):
+    """A log record: one version."""
+
     shape: int
     version: int
     who: str
@@ -285,20 +295,22 @@
     titles: list[Title]
     dropped: list[str]
     floor: int = 0
-    id: str = ""  # by which its client asked for it
+    id: str = ""  # chosen by the client
+
 
+class StoredSnapshot(msgspec.Struct, array_like=True):
+    """A snapshot: all titles at one version."""
 
-class KeptWhole(msgspec.Struct, array_like=True):
     shape: int
     version: int
     titles: list[Title]
     floor: int = 0
-    done: list[tuple[str, int, int]] = []  # of clients' changes: id, the version that each made, titles changed
+    done: list[tuple[str, int, int]] = []  # (client's id, version made, titles changed)
 
 
 def encode_delta(delta, who="", why="", id=""):
     return msgspec.msgpack.encode(
-        KeptDelta(
+        StoredDelta(
             SHAPE,
             delta.version,
             who,
@@ -312,17 +324,18 @@
 
 
 def decode_delta(data):
-    """(Delta, who, why, id). ValueError where it is none of a shape that this program knows."""
-    kept = decoded(data, KeptDelta, SHAPE, "change of titles")
-    titles = {t.name: t for t in kept.titles}
-    titles.update(dict.fromkeys(kept.dropped))
-    return Delta(kept.version, titles, kept.floor), kept.who, kept.why, kept.id
+    """(Delta, who, why, id) of a log record. ValueError: not in a shape that this program knows."""
+    stored = decoded(data, StoredDelta, SHAPE, "change of titles")
+    titles = {t.name: t for t in stored.titles}
+    titles.update(dict.fromkeys(stored.dropped))
+    return Delta(stored.version, titles, stored.floor), stored.who, stored.why, stored.id
 
 
-def encode_whole(version, titles, floor=0, done=()):
-    return msgspec.msgpack.encode(KeptWhole(SHAPE, version, list(titles.values()), floor, list(done)))
+def encode_snapshot(version, titles, floor=0, done=()):
+    return msgspec.msgpack.encode(StoredSnapshot(SHAPE, version, list(titles.values()), floor, list(done)))
 
 
-def decode_whole(data):
-    kept = decoded(data, KeptWhole, SHAPE, "titles")
-    return kept.version, {t.name: t for t in kept.titles}, kept.floor, kept.done
+def decode_snapshot(data):
+    """(version, titles, floor, done) of a snapshot. ValueError: not in a shape that this program knows."""
+    stored = decoded(data, StoredSnapshot, SHAPE, "titles")
+    return stored.version, {t.name: t for t in stored.titles}, stored.floor, stored.done
--- a/flaxscale/catalogue/title_lookup.py
+++ b/flaxscale/catalogue/title_lookup.py
@@ -1,7 +1,7 @@
-"""A manager's catalogue: what the front looks titles up in, and what the module is told of them. No I/O.
+"""Title lookup for the front, and the title events for the decision module. No I/O.
 
-The module hears of a title when it is first asked for, and of each change while it knows it: a catalogue of 200,000
-titles costs it no more than those that are watched.
+The module gets a title when it is first requested and its changes from then on, so that of a catalogue of 200,000
+titles it stores only those that are in use.
 """
 
 from typing import NamedTuple
@@ -10,11 +10,11 @@
 
 from .. import interface
 
-FORGET = 6_000_000  # a title not asked for in ten minutes is forgotten by the module
+FORGET_AFTER = 6_000_000  # tenths of ms: titles without a request for ten minutes are removed from the module
 
 
-class Entry(NamedTuple):
-    """What the front needs of a title to take a request."""
+class TitleEntry(NamedTuple):
+    """What the front needs of a title to handle a request."""
 
     title: int
     view: str | None
@@ -24,15 +24,16 @@
 
 
 def title_id(name):
+    """The number by which the module knows a title."""
     return xxhash.xxh3_64_intdigest(name.encode())
 
 
 class SiteTitles:
-    """Titles from the site file alone: cells in a row hold them, and nothing changes."""
+    """Titles of the site file: each is held by a range of cells and never changes."""
 
     def __init__(self, site):
         self.entries = {
-            name: Entry(title_id(name), row.view, row.push, row.first_cell, row.cells)
+            name: TitleEntry(title_id(name), row.view, row.push, row.first_cell, row.cells)
             for name, row in site.titles.items()
         }
 
@@ -47,19 +48,20 @@
 
 
 class CatalogueTitles:
-    """Titles by a Follower. pending_update() is the event that the module must hear before it is asked for a title."""
+    """Titles of the live catalogue, from a Follower. pending_update() must reach the module before a request does."""
 
-    def __init__(self, sense, follower):
-        self.packages, self.follower, self.announced, self.asked_at = sense.packages, follower, {}, {}
+    def __init__(self, manager_site, follower):
+        self.packages, self.follower, self.announced, self.requested_at = manager_site.packages, follower, {}, {}
 
     def find(self, name, now):
         title = self.follower.titles.get(name)
         if title is None:
             return None
-        self.asked_at[name] = now
-        return Entry(title_id(name), title.view, title.push, 0, 0)
+        self.requested_at[name] = now
+        return TitleEntry(title_id(name), title.view, title.push, 0, 0)
 
-    def event(self, name, title):
+    def title_update(self, name, title):
+        """The event that describes a title, or None for a dropped one."""
         if title is None:
             return interface.TitleUpdate(title_id(name), frozenset(), 0, 0, ())
         return interface.TitleUpdate(
@@ -71,22 +73,24 @@
         )
 
     def pending_update(self, name):
-        """The event to tell now, or None where the module knows this title as it is."""
+        """The event that the module needs now; None where it has the title's present state."""
         title = self.follower.titles.get(name)
         if name in self.announced and self.announced[name] is title:
             return None
         self.announced[name] = title
-        return self.event(name, title)
+        return self.title_update(name, title)
 
     def pending_updates(self, titles):
-        """Events for the changed titles that the module knows."""
+        """Events for those changed titles that the module knows."""
         return [event for name in titles if name in self.announced and (event := self.pending_update(name)) is not None]
 
-    def forget_unused(self, now, held):
-        """Events that let the module forget what nobody asks for. held: ids of titles with viewings."""
+    def forget_unused(self, now, titles_in_use):
+        """Events that remove titles without recent requests. titles_in_use: ids of titles with viewings."""
         out = []
-        for name in [n for n, at in self.asked_at.items() if now - at > FORGET and title_id(n) not in held]:
-            del self.asked_at[name]
+        for name in [
+            n for n, at in self.requested_at.items() if now - at > FORGET_AFTER and title_id(n) not in titles_in_use
+        ]:
+            del self.requested_at[name]
             if self.announced.pop(name, None) is not None:
                 out.append(interface.TitleUpdate(title_id(name), None, 0, 0, ()))
         return out
--- a/flaxscale/catalogue/wire.py
+++ b/flaxscale/catalogue/wire.py
@@ -1,11 +1,12 @@
-"""Titles and messages as protobuf, and back."""
+"""Conversion of titles and replication messages to protobuf and back."""
 
 from ..proto import catalogue_pb2 as pb
 from .replication import SnapshotPart
 from .state import Delta, Title
 
 
-def title_out(t):
+def title_to_pb(t):
+    """The protobuf message of a Title."""
     return pb.Title(
         name=t.name,
         view=t.view,
@@ -18,15 +19,19 @@
     )
 
 
-STATES = {"preparing": "preparing", "holding": "holding", "leaving": "leaving"}  # one string each, not one a holder
+STATES = {
+    "preparing": "preparing",
+    "holding": "holding",
+    "leaving": "leaving",
+}  # interned: a shared string for each state, not one for each holder
 
 
-def title_in(t):
-    """A Title; a holder's state that this program does not know is a ValueError, so that the version is refused."""
+def title_from_pb(t):
+    """The Title of a message. An unknown holder state is a ValueError, which makes the follower refuse the version."""
     try:
         holders = tuple(sorted((h.box, STATES[h.state]) for h in t.holders))
-    except KeyError as odd:
-        raise ValueError(f"title {t.name[:60]!r}: a holder's state {odd} that this program does not know") from None
+    except KeyError as unknown:
+        raise ValueError(f"title {t.name[:60]!r}: holder state {unknown} is unknown") from None
     return Title(
         t.name,
         t.view if t.HasField("view") else None,
@@ -39,35 +44,37 @@
     )
 
 
-def reply_out(epoch, message):
+def reply_to_pb(epoch, message):
+    """The WatchReply that carries a Delta or a SnapshotPart."""
     if isinstance(message, Delta):
         return pb.WatchReply(
             epoch=epoch,
             delta=pb.Delta(
                 version=message.version,
-                titles=[title_out(t) for t in message.titles.values() if t is not None],
+                titles=[title_to_pb(t) for t in message.titles.values() if t is not None],
                 dropped=[n for n, t in message.titles.items() if t is None],
                 floor=message.floor,
             ),
         )
-    return pb.WatchReply(epoch=epoch, part=part_out(message))
+    return pb.WatchReply(epoch=epoch, part=part_to_pb(message))
 
 
-def part_out(message):
+def part_to_pb(message):
+    """The protobuf message of a SnapshotPart."""
     return pb.WholePart(
         version=message.version,
-        titles=[title_out(t) for t in message.titles],
+        titles=[title_to_pb(t) for t in message.titles],
         first=message.first,
         last=message.last,
         floor=message.floor,
     )
 
 
-def reply_in(reply):
-    """A Delta or a SnapshotPart."""
+def reply_from_pb(reply):
+    """The Delta or SnapshotPart of a WatchReply."""
     if reply.WhichOneof("what") == "delta":
-        titles = {t.name: title_in(t) for t in reply.delta.titles}
+        titles = {t.name: title_from_pb(t) for t in reply.delta.titles}
         titles.update(dict.fromkeys(reply.delta.dropped))
         return Delta(reply.delta.version, titles, reply.delta.floor)
     part = reply.part
-    return SnapshotPart(part.version, tuple(title_in(t) for t in part.titles), part.first, part.last, part.floor)
+    return SnapshotPart(part.version, tuple(title_from_pb(t) for t in part.titles), part.first, part.last, part.floor)
--- a/flaxscale/catalogued/client.py
+++ b/flaxscale/catalogued/client.py
@@ -46,11 +46,11 @@
         while True:
             try:
                 return await getattr(stub or self.stub, method)(request, timeout=timeout)
-            except grpc.aio.AioRpcError as bad:
-                if bad.code() is grpc.StatusCode.UNAVAILABLE and now() < until:
+            except grpc.aio.AioRpcError as error:
+                if error.code() is grpc.StatusCode.UNAVAILABLE and now() < until:
                     await asyncio.sleep(PAUSE_S)
                     continue
-                raise ServiceError(f"{self.address}: {bad.code().name}: {bad.details()}") from None
+                raise ServiceError(f"{self.address}: {error.code().name}: {error.details()}") from None
 
     async def change(self, ops, expect=None, force=False, dry=False, who="", why="", id=None, retry_for_s=0.0):
         """The ChangeReply. ops: operations of catalogue.state. id: the change's own; drawn where it is left out."""
@@ -74,7 +74,7 @@
         try:
             async for part in self.stub.Get(pb.GetRequest(version=version, titles=titles), timeout=60.0):
                 at = part.version
-                found.update((t.name, wire.title_in(t)) for t in part.titles)
-        except grpc.aio.AioRpcError as bad:
-            raise ServiceError(f"{self.address}: {bad.code().name}: {bad.details()}") from None
+                found.update((t.name, wire.title_from_pb(t)) for t in part.titles)
+        except grpc.aio.AioRpcError as error:
+            raise ServiceError(f"{self.address}: {error.code().name}: {error.details()}") from None
         return at, found
--- a/flaxscale/catalogued/leases.py
+++ b/flaxscale/catalogued/leases.py
@@ -88,13 +88,15 @@
             self.store.commit()
             if self.store.since_snapshot >= SNAPSHOT_EVERY:
                 self.compact()
-        except OSError as bad:  # what reached the disk is not known: nothing is granted until the state is written anew
-            self.broken = bad
-            self.log.error("leases' store failed", detail=str(bad))
+        except (
+            OSError
+        ) as error:  # what reached the disk is not known: nothing is granted until the state is written anew
+            self.broken = error
+            self.log.error("leases' store failed", detail=str(error))
             self.resuming.begin()
             for done in waiting:
                 if not done.done():
-                    done.set_exception(bad)
+                    done.set_exception(error)
             return
         for done in waiting:
             if not done.done():
@@ -194,8 +196,8 @@
             self.done[act.piece], self.done_at[act.piece] = last, at
             self.put("done", piece=act.piece, data=last)
             await self.durable()
-        except (OSError, ValueError, msgspec.MsgspecError, grpc.aio.AbortError) as bad:
-            return pb.ActTold(piece=act.piece, number=act.number, refused=str(bad)[:300])
+        except (OSError, ValueError, msgspec.MsgspecError, grpc.aio.AbortError) as error:
+            return pb.ActTold(piece=act.piece, number=act.number, refused=str(error)[:300])
         return pb.ActTold(piece=act.piece, number=act.number, said=json.dumps(said).encode())
 
     def note(self, what, piece, owner, token):
@@ -227,8 +229,8 @@
                 self.note("released", request.release, owner, token)
                 try:
                     await self.durable()
-                except OSError as bad:
-                    refused = str(bad)
+                except OSError as error:
+                    refused = str(error)
         rows = [
             pb.LeaseRow(
                 piece=piece,
--- a/flaxscale/catalogued/peak_watch.py
+++ b/flaxscale/catalogued/peak_watch.py
@@ -34,8 +34,8 @@
                 epoch, book = decode(self.store.kept)
                 self.follower.take(epoch, book.version, book.peaks.values())
                 self.changed(self.follower.peaks)
-        except (StoreError, OSError, ValueError) as bad:
-            self.log.error("kept peaks not used", detail=str(bad))
+        except (StoreError, OSError, ValueError) as error:
+            self.log.error("kept peaks not used", detail=str(error))
             self.store = None
 
     def keep(self):
@@ -44,8 +44,8 @@
         f = self.follower
         try:
             self.store.put(encode(f.epoch, PeakBook(f.version, f.peaks)))
-        except OSError as bad:
-            self.log.error("peaks not kept", detail=str(bad))
+        except OSError as error:
+            self.log.error("peaks not kept", detail=str(error))
             self.store = None
 
     def closed(self, why):
@@ -68,9 +68,9 @@
         """One version; what to say to it."""
         try:
             moved = self.follower.take(reply.epoch, reply.version, [wire.peak_in(p) for p in reply.peaks])
-        except ValueError as bad:
-            self.log.error("peaks refused", version=reply.version, why=str(bad)[:300])
-            return pb.WatchRequest(name=self.name, refusal=pb.Refusal(version=reply.version, why=str(bad)[:500]))
+        except ValueError as error:
+            self.log.error("peaks refused", version=reply.version, why=str(error)[:300])
+            return pb.WatchRequest(name=self.name, refusal=pb.Refusal(version=reply.version, why=str(error)[:500]))
         if moved:
             self.log.info("peaks", version=reply.version, count=len(reply.peaks))
             self.changed(self.follower.peaks)
--- a/flaxscale/catalogued/peaks.py
+++ b/flaxscale/catalogued/peaks.py
@@ -74,15 +74,15 @@
             return pb.ChangeReply(version=self.book.version, behind=str(late))
         except Refused as no:
             return pb.ChangeReply(version=self.book.version, faults=no.reasons[:100])
-        except msgspec.MsgspecError as bad:
-            return pb.ChangeReply(version=self.book.version, faults=[f"the fields can't be read: {bad}"])
+        except msgspec.MsgspecError as error:
+            return pb.ChangeReply(version=self.book.version, faults=[f"the fields can't be read: {error}"])
         book.did(request.id)
         try:
             # Durable before anyone hears of it: a change that was told outlives the service.
             self.store.put(encode(self.epoch, book))
-        except OSError as bad:
-            self.broken = bad
-            self.log.error("store of peaks failed", detail=str(bad))
+        except OSError as error:
+            self.broken = error
+            self.log.error("store of peaks failed", detail=str(error))
             self.resuming.begin()
             await context.abort(grpc.StatusCode.UNAVAILABLE, "the store failed; whether it was made is not known")
         self.book = book
--- a/flaxscale/catalogued/service.py
+++ b/flaxscale/catalogued/service.py
@@ -40,14 +40,14 @@
         self.files, self.log, self.record = files, log, record
         self.keeper = DurableCatalogue(files, frame)
         self.epoch, self.fleet = self.epoch_of(files), fleet or FleetRow(1, 1, {}, 1, 1)
-        self.settled_at, self.ruler = deque([(self.keeper.settled, now())], 1000), None
+        self.settled_at, self.ruler = deque([(self.keeper.committed_version, now())], 1000), None
         self.watchers, self.wakes = {}, {}
         self.waiting, self.settling, self.staged = [], None, []
         self.broken, self.resuming = None, StoreRetry(self.keeper.resume, self.resumed)
         self.server, self.stopped = None, asyncio.Event()
-        self.peaks = peak_files and PeakService(peak_files, self.epoch, frame, lambda: self.keeper.now.titles, log)
+        self.peaks = peak_files and PeakService(peak_files, self.epoch, frame, lambda: self.keeper.current.titles, log)
         self.leases = LeaseService(lease_files, tasks, self.act, log, record) if lease_files and tasks else None
-        self.tell_record(self.keeper.settled, self.keeper.now.titles)
+        self.tell_record(self.keeper.committed_version, self.keeper.current.titles)
 
     def epoch_of(self, files):
         """One name for the life of this store; a store begun anew is another."""
@@ -77,7 +77,7 @@
             "store older than what was told: another epoch",
             watcher=watcher,
             holds=version,
-            settled=self.keeper.settled,
+            settled=self.keeper.committed_version,
             was=was,
             epoch=self.epoch,
         )
@@ -127,8 +127,10 @@
             return before
         try:
             ops = msgspec.json.decode(request.ops, type=list[Op])
-        except msgspec.MsgspecError as bad:
-            return pb.ChangeReply(version=self.keeper.settled, faults=[f"the change set can't be read: {bad}"])
+        except msgspec.MsgspecError as error:
+            return pb.ChangeReply(
+                version=self.keeper.committed_version, faults=[f"the change set can't be read: {error}"]
+            )
         return await self.change(
             ops,
             request.expect if request.HasField("expect") else None,
@@ -143,14 +145,16 @@
     async def Rollback(self, request, context):
         if (before := await self.made_before(request.id, context)) is not None:
             return before
-        ops = self.keeper.back_to(request.to)
+        ops = self.keeper.rollback_ops(request.to)
         if ops is None:
-            return pb.ChangeReply(version=self.keeper.settled, faults=[f"version {request.to} is not known here"])
+            return pb.ChangeReply(
+                version=self.keeper.committed_version, faults=[f"version {request.to} is not known here"]
+            )
         if not ops:
-            return pb.ChangeReply(version=self.keeper.settled)
+            return pb.ChangeReply(version=self.keeper.committed_version)
         return await self.change(
             ops,
-            request.expect if request.HasField("expect") else self.keeper.now.version,
+            request.expect if request.HasField("expect") else self.keeper.current.version,
             True,
             False,
             request.who,
@@ -167,10 +171,10 @@
         """What was answered to this id, or would have been, once it is durable; None where it is new."""
         if len(id) > ID_LIMIT:
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, f"an id of {ID_LIMIT} characters at most")
-        if not id or id not in self.keeper.done:
+        if not id or id not in self.keeper.changes_by_id:
             return None
-        version, changed = self.keeper.done[id]
-        if version > self.keeper.settled:
+        version, changed = self.keeper.changes_by_id[id]
+        if version > self.keeper.committed_version:
             if self.broken is not None:
                 return None  # whether it was made only a start can tell; it is refused below
             await self.durable(None)
@@ -181,15 +185,15 @@
         keeper = self.keeper
         try:
             if dry:
-                trial = type(keeper.now)(keeper.now.frame, keeper.now.version, keeper.now.titles)
+                trial = type(keeper.current)(keeper.current.limits, keeper.current.version, keeper.current.titles)
                 return pb.ChangeReply(
                     version=trial.version, changed=len(trial.apply(ops, expect, self.in_use(), force).titles)
                 )
             delta = keeper.stage(ops, expect, self.in_use(), force, who[:100], why[:500], id)
         except VersionConflict as late:
-            return pb.ChangeReply(version=keeper.settled, behind=str(late))
+            return pb.ChangeReply(version=keeper.committed_version, behind=str(late))
         except Refused as no:
-            return pb.ChangeReply(version=keeper.settled, faults=[str(f) for f in no.faults[:1000]])
+            return pb.ChangeReply(version=keeper.committed_version, faults=[str(f) for f in no.faults[:1000]])
         if not delta.titles:
             return pb.ChangeReply(version=delta.version)
         await self.durable(delta)
@@ -211,7 +215,7 @@
         """Managers that live, as far as this service hears of them."""
         most = round(LIVING * self.fleet.behind_s * 10_000)
         seen = [
-            floors.Watching(name, w.acked, 0 if name in self.wakes else now() - w.heard_at)
+            floors.Watching(name, w.acked, 0 if name in self.wakes else now() - w.last_received_at)
             for name, w in sorted(self.watchers.items())
             if w.role == "manager"
         ]
@@ -224,7 +228,7 @@
         def reply(**more):
             return pb.FloorReply(
                 epoch=self.epoch,
-                version=keeper.settled,
+                version=keeper.committed_version,
                 floor=keeper.floor,
                 under=floors.shut_out(keeper.floor, watching) if keeper.floor else [],
                 **more,
@@ -235,11 +239,11 @@
         if await self.made_before(request.id, context) is not None:
             return reply()
         share = 1.0 if request.force else self.fleet.floor_share
-        if no := floors.objection(request.floor, keeper.settled, watching, share):
+        if no := floors.objection(request.floor, keeper.committed_version, watching, share):
             return reply(refused=no)
         delta = keeper.stage_floor(request.floor, request.who[:100], request.why[:500], request.id)
         if delta is None:
-            return reply(refused=f"a floor is only raised: {keeper.now.floor} stands")
+            return reply(refused=f"a floor is only raised: {keeper.current.floor} stands")
         await self.durable(delta)
         self.log.info("floor raised", floor=delta.floor, version=delta.version, who=request.who[:100])
         return reply()
@@ -266,10 +270,10 @@
         self.settling, waiting, self.waiting = None, self.waiting, []
         try:
             version = self.keeper.commit()
-        except OSError as bad:
+        except OSError as error:
             # What reached the disk is not known: nothing more is taken until the state was written anew.
-            self.broken = bad
-            self.log.error("store failed", detail=str(bad))
+            self.broken = error
+            self.log.error("store failed", detail=str(error))
             self.resuming.begin()
             for done in waiting:
                 if not done.done():
@@ -284,8 +288,8 @@
     def resumed(self):
         """A store that had failed takes records again; what was staged then is settled."""
         self.broken = None
-        self.log.info("store taken up again", version=self.keeper.settled)
-        self.tell_settled(self.keeper.settled)
+        self.log.info("store taken up again", version=self.keeper.committed_version)
+        self.tell_settled(self.keeper.committed_version)
 
     def tell_settled(self, version):
         """To the record and to all who watch."""
@@ -320,7 +324,7 @@
             self.log.info("floor raised", floor=floor, version=delta.version, who=owner[:100])
             return {"floor": floor, "raised": True}
         if task in ("copies", "reports"):
-            return {**what, "at_version": keeper.settled}
+            return {**what, "at_version": keeper.committed_version}
         raise ValueError(f"{task}: not a duty that acts on this service")
 
     async def Leases(self, request, context):
@@ -334,7 +338,7 @@
         first = await first_of(context)
         if first is None:
             return
-        if first.epoch == self.epoch and first.version > self.keeper.settled:
+        if first.epoch == self.epoch and first.version > self.keeper.committed_version:
             self.start_new_epoch(first.name, first.version)
         await context.send_initial_metadata(())  # so that it knows that it is heard, with nothing to tell
         watcher = Watcher(first.name, first.role, first.epoch, first.version if first.epoch else None, self.epoch)
@@ -368,7 +372,7 @@
                 ):
                     if self.record and (isinstance(message, Delta) or message.last):
                         self.record.put("told", watcher=first.name, version=message.version)
-                    await context.write(wire.reply_out(self.epoch, message))
+                    await context.write(wire.reply_to_pb(self.epoch, message))
                 if self.watchers.get(first.name) is not watcher:
                     return  # it came again by another stream
                 await wake.wait()
@@ -380,7 +384,7 @@
                 del self.wakes[first.name]
 
     def hear(self, watcher, said):
-        watcher.heard_at = now()
+        watcher.last_received_at = now()
         if said.WhichOneof("says") == "ack":
             watcher.ack(said.ack)
             if self.record:
@@ -415,17 +419,17 @@
 
     async def Get(self, request, context):
         keeper = self.keeper
-        version = request.version if request.HasField("version") else keeper.settled
+        version = request.version if request.HasField("version") else keeper.committed_version
         titles = keeper.titles_at(version)
         if titles is None:
             await context.abort(grpc.StatusCode.NOT_FOUND, f"version {version} is not known here")
         rows = [titles[name] for name in request.titles if name in titles] if request.titles else list(titles.values())
         parts = [rows[n : n + PART] for n in range(0, len(rows), PART)] or [[]]
         for n, part in enumerate(parts):
-            yield wire.part_out(SnapshotPart(version, part, n == 0, n + 1 == len(parts), keeper.floor))
+            yield wire.part_to_pb(SnapshotPart(version, part, n == 0, n + 1 == len(parts), keeper.floor))
 
     async def History(self, request, context):
-        versions = [v for v in self.keeper.history if v <= self.keeper.settled][-(request.last or 20) :]
+        versions = [v for v in self.keeper.history if v <= self.keeper.committed_version][-(request.last or 20) :]
         return pb.HistoryReply(
             changes=[
                 pb.Change(
@@ -441,7 +445,7 @@
     async def Who(self, request, context):
         return pb.WhoReply(
             epoch=self.epoch,
-            version=self.keeper.settled,
+            version=self.keeper.committed_version,
             watchers=[
                 pb.Watcher(
                     name=w.name,
@@ -450,7 +454,7 @@
                     refused=w.refused,
                     why=w.why,
                     connected=name in self.wakes,
-                    heard_ms_ago=(now() - w.heard_at) // 10,
+                    heard_ms_ago=(now() - w.last_received_at) // 10,
                 )
                 for name, w in sorted(self.watchers.items())
             ],
--- a/flaxscale/catalogued/streams.py
+++ b/flaxscale/catalogued/streams.py
@@ -56,8 +56,8 @@
         began, why = now(), None
         try:
             why = await one_stream() or "the stream ended"
-        except grpc.aio.AioRpcError as bad:
-            why = f"{bad.code().name}: {bad.details()}"
+        except grpc.aio.AioRpcError as error:
+            why = f"{error.code().name}: {error.details()}"
         finally:
             closed(why)
         pause = RETRY_S if now() - began > LASTED else min(RETRY_MOST_S, pause * 1.7)
--- a/flaxscale/catalogued/watch.py
+++ b/flaxscale/catalogued/watch.py
@@ -69,9 +69,9 @@
                 delta, *_ = decode_delta(content)
                 self.follower.apply_delta(kept.epoch, delta)
             self.since, self.kept_wall = len(found.records), kept.wall
-        except (StoreError, OSError, ValueError, VersionGap, msgspec.MsgspecError) as bad:
+        except (StoreError, OSError, ValueError, VersionGap, msgspec.MsgspecError) as error:
             # Never served from what does not read: without a service this manager has no titles, and says so.
-            self.log.error("kept catalogue not used", detail=str(bad))
+            self.log.error("kept catalogue not used", detail=str(error))
             self.follower.load(None, None, {})
             self.store = None
             return
@@ -89,8 +89,8 @@
                     self.store.append(encode_delta(delta))
                     self.store.commit()
                     self.since += 1
-        except OSError as bad:
-            self.log.error("catalogue not kept", detail=str(bad))
+        except OSError as error:
+            self.log.error("catalogue not kept", detail=str(error))
             self.store = None
 
     def save(self):
@@ -121,8 +121,8 @@
             self.store.append(b"whole")  # so that this snapshot has a number of its own
             self.store.commit()
             self.store.snapshot(data)
-        except OSError as bad:
-            self.log.error("catalogue not kept", detail=str(bad))
+        except OSError as error:
+            self.log.error("catalogue not kept", detail=str(error))
             self.store = None
             return
         if f.version != version:  # what came meanwhile was not logged
@@ -195,13 +195,13 @@
         """One message; what to say to it, or None."""
         f = self.follower
         try:
-            message = wire.reply_in(reply)
+            message = wire.reply_from_pb(reply)
             changed = (f.apply_part if isinstance(message, SnapshotPart) else f.apply_delta)(reply.epoch, message)
-        except ValueError as bad:
+        except ValueError as error:
             version = reply.part.version or reply.delta.version
-            self.log.error("catalogue refused", version=version, why=str(bad)[:300])
+            self.log.error("catalogue refused", version=version, why=str(error)[:300])
             self.refused = version
-            return pb.WatchRequest(name=self.name, refusal=pb.Refusal(version=version, why=str(bad)[:500]))
+            return pb.WatchRequest(name=self.name, refusal=pb.Refusal(version=version, why=str(error)[:500]))
         if isinstance(message, SnapshotPart) and not message.last:
             return None
         self.took(message, changed)
--- a/flaxscale/cli/catalogue.py
+++ b/flaxscale/cli/catalogue.py
@@ -50,8 +50,8 @@
             Files(f"{store}/leases") if found.duties else None,
             tasks_of(found.duties, found.fleet.drift),
         )
-    except (StoreError, ValueError, OSError) as bad:
-        click.echo(f"flaxscale: {store}: {bad}", err=True)
+    except (StoreError, ValueError, OSError) as error:
+        click.echo(f"flaxscale: {store}: {error}", err=True)
         sys.exit(BAD)
     if made.keeper.log.found.cut:
         made.log.warning("torn tail cut", bytes=made.keeper.log.found.cut)
@@ -59,10 +59,14 @@
     async def main():
         address = await made.start(host, port)
         made.log.info(
-            "serves", host=address[0], port=address[1], version=made.keeper.settled, titles=len(made.keeper.now.titles)
+            "serves",
+            host=address[0],
+            port=address[1],
+            version=made.keeper.committed_version,
+            titles=len(made.keeper.current.titles),
         )
         if say_ready:
-            ready(*address, version=made.keeper.settled)
+            ready(*address, version=made.keeper.committed_version)
         await service.until_signal()
         await made.stop()
 
@@ -83,8 +87,8 @@
 
         try:
             sys.exit(site_errors(lambda: service.run(main())) or 0)
-        except ServiceError as bad:
-            click.echo(f"flaxscale: {bad}", err=True)
+        except ServiceError as error:
+            click.echo(f"flaxscale: {error}", err=True)
             sys.exit(BAD)
 
     return run
@@ -140,11 +144,11 @@
 @service_command
 async def put(client, file, keep, expect, force, dry, why, id):
     """Make the catalogue what FILE says (Jsonnet or Parquet), in one change set."""
-    from ..catalogue.files import ops_to, read_catalogue
+    from ..catalogue.files import ops_to_reach, read_catalogue
 
     puts = read_catalogue(file)
     version, titles = await client.get()
-    ops = ops_to(titles, puts, keep)
+    ops = ops_to_reach(titles, puts, keep)
     if not ops:
         click.echo(f"nothing differs from version {version}")
         return 0
@@ -304,8 +308,8 @@
                 held,
                 seconds,
             )
-    except ValueError as bad:
-        raise SiteError(question, "", str(bad)) from None
+    except ValueError as error:
+        raise SiteError(question, "", str(error)) from None
     click.echo(
         f"version {version}: {len(found.add)} copies to add, {len(found.drop)} to drop "
         f"({found.seconds:.1f} s, within {found.gap:.2%} of the best)"
--- a/flaxscale/cli/solve.py
+++ b/flaxscale/cli/solve.py
@@ -38,7 +38,7 @@
             "uplinks": {int(rack): kb for rack, kb in asked.question["uplinks"].items()},
         }
         made = plan(PlanRequest(**fields), {title: set(boxes) for title, boxes in asked.held.items()}, asked.seconds)
-    except (msgspec.MsgspecError, ValueError, KeyError, TypeError) as bad:
-        click.echo(f"flaxscale: the question: {bad}", err=True)
+    except (msgspec.MsgspecError, ValueError, KeyError, TypeError) as error:
+        click.echo(f"flaxscale: the question: {error}", err=True)
         sys.exit(BAD)
     sys.stdout.buffer.write(b"\n" + msgspec.json.encode(Told(made.add, made.drop, made.before, made.after)) + b"\n")
--- a/flaxscale/site/load.py
+++ b/flaxscale/site/load.py
@@ -27,12 +27,12 @@
     path = pathlib.Path(file)
     try:
         path.read_bytes()
-    except OSError as bad:
-        raise SiteError(file, "", f"can't be read: {bad.strerror}") from None
+    except OSError as error:
+        raise SiteError(file, "", f"can't be read: {error.strerror}") from None
     try:
         return _jsonnet.evaluate_file(str(path), ext_vars={k: str(v) for k, v in given.items()}, max_stack=200)
-    except RuntimeError as bad:
-        text = " / ".join(line.strip() for line in str(bad).strip().splitlines()[:3])
+    except RuntimeError as error:
+        text = " / ".join(line.strip() for line in str(error).strip().splitlines()[:3])
         raise SiteError(file, "", f"not Jsonnet that can be evaluated: {text}") from None
 
 
@@ -40,9 +40,9 @@
     """The JSON text as an instance of `kind`."""
     try:
         return msgspec.json.decode(text, type=kind)
-    except msgspec.ValidationError as bad:
-        said, _, at = str(bad).partition(" - at ")
+    except msgspec.ValidationError as error:
+        said, _, at = str(error).partition(" - at ")
         key = at.strip("`").removeprefix("$").lstrip(".") or "the file's own object"
         raise SiteError(file, key.replace("[...]", ".*"), said) from None
-    except msgspec.DecodeError as bad:
-        raise SiteError(file, "", f"not JSON: {bad}") from None
+    except msgspec.DecodeError as error:
+        raise SiteError(file, "", f"not JSON: {error}") from None
--- a/flaxscale/site/shapes.py
+++ b/flaxscale/site/shapes.py
@@ -238,8 +238,8 @@
     for n, row in enumerate(site.peaks):
         try:
             announced.append(row.announcement())
-        except ValueError as bad:
-            want(False, f"peaks.{n}", f"another time ({bad})")
+        except ValueError as error:
+            want(False, f"peaks.{n}", f"another time ({error})")
         want(not (row.start.startswith("+") or row.end.startswith("+")), f"peaks.{n}", "times with a date")
     for name, detail in peak_faults(announced, site.titles, rungs, tuple(site.packages)):
         want(False, f"peaks.{name}", f"another figure ({detail})")
--- a/tests/test_catalogue.py
+++ b/tests/test_catalogue.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from flaxscale.catalogue.durable import DurableCatalogue
-from flaxscale.catalogue.files import ops_to, read_catalogue, write_parquet
+from flaxscale.catalogue.files import ops_to_reach, read_catalogue, write_parquet
 from flaxscale.catalogue.replication import Follower, SnapshotPart, VersionGap, Watcher
 from flaxscale.catalogue.state import (
     HOLDING,
@@ -27,8 +27,8 @@
     decode_delta,
     diff,
     encode_delta,
-    encode_whole,
-    put_of,
+    encode_snapshot,
+    put_from_title,
     undo,
 )
 from flaxscale.site.load import SiteError
@@ -113,7 +113,7 @@
         self.assertEqual({"a", "b", "n"}, set(diff(old, c.titles)))
         c.apply(undo(old, c.titles))
         self.assertEqual(old, c.titles)
-        self.assertEqual([], ops_to(c.titles, [put_of(t) for t in c.titles.values()]))
+        self.assertEqual([], ops_to_reach(c.titles, [put_from_title(t) for t in c.titles.values()]))
 
     def test_hostile_operations(self):
         for text in (
@@ -160,12 +160,12 @@
 class Durable(unittest.TestCase):
     def run_changes(self, files, acked):
         keeper = DurableCatalogue(files, FRAME)
-        for n in range(keeper.now.version, 6):
+        for n in range(keeper.current.version, 6):
             keeper.stage(ops_of(n))
             if n % 2:
                 keeper.commit()
-                acked.append((keeper.settled, dict(keeper.now.titles)))
-        keeper.log.snapshot(encode_whole(keeper.now.version, keeper.now.titles))
+                acked.append((keeper.committed_version, dict(keeper.current.titles)))
+        keeper.log.snapshot(encode_snapshot(keeper.current.version, keeper.current.titles))
 
     def test_killed_at_every_byte_of_a_change(self):
         wanted = [{}]
@@ -180,7 +180,7 @@
             with self.assertRaises(Crash):
                 self.run_changes(files, acked)
             for disk in files.survivors():
-                found = DurableCatalogue(FaultyFiles(disk), FRAME).now
+                found = DurableCatalogue(FaultyFiles(disk), FRAME).current
                 self.assertGreaterEqual(found.version, acked[-1][0] if acked else 0)
                 self.assertEqual(wanted[found.version], found.titles)  # whole versions, or none of one
 
@@ -202,24 +202,24 @@
             self.assertEqual(3, keeper.commit())
             for disk in files.survivors():
                 again = DurableCatalogue(FaultyFiles(disk), FRAME)
-                self.assertEqual((3, keeper.now.titles), (again.now.version, again.now.titles))
+                self.assertEqual((3, keeper.current.titles), (again.current.version, again.current.titles))
                 # Whoever was told that it is not known asks again under the same id: it is made once.
-                self.assertEqual({"first", "unknown", "after"}, set(again.done))
+                self.assertEqual({"first", "unknown", "after"}, set(again.changes_by_id))
 
     def test_history_rollback_and_what_is_too_long_ago(self):
         keeper = DurableCatalogue(FaultyFiles(), FRAME)
         for n in range(5):
             keeper.stage(ops_of(n), who="o", why=f"w{n}")
-        self.assertIsNone(keeper.since(9))
-        self.assertEqual([], keeper.since(0))  # nothing is settled yet, so nothing may be told
+        self.assertIsNone(keeper.deltas_since(9))
+        self.assertEqual([], keeper.deltas_since(0))  # nothing is settled yet, so nothing may be told
         keeper.commit()
-        self.assertEqual([1, 2, 3, 4, 5], [d.version for d in keeper.since(0)])
+        self.assertEqual([1, 2, 3, 4, 5], [d.version for d in keeper.deltas_since(0)])
         three = keeper.titles_at(3)
-        keeper.stage(keeper.back_to(3))
-        self.assertEqual(three, keeper.now.titles)
+        keeper.stage(keeper.rollback_ops(3))
+        self.assertEqual(three, keeper.current.titles)
         del keeper.history[2]
         self.assertIsNone(keeper.titles_at(1))
-        self.assertIsNone(keeper.since(1))
+        self.assertIsNone(keeper.deltas_since(1))
 
     def test_ids_of_changes_are_known_after_a_start_from_log_or_snapshot(self):
         files = FaultyFiles()
@@ -229,10 +229,12 @@
         keeper.stage_floor(2, id="floor")
         keeper.commit()
         wanted = {"id-0": (1, 2), "id-1": (2, 2), "id-2": (3, 2), "floor": (4, 0)}
-        self.assertEqual(wanted, DurableCatalogue(FaultyFiles(files.written), FRAME).done)
-        keeper.log.snapshot(encode_whole(4, keeper.now.titles, 2, [(id, *what) for id, what in keeper.done.items()]))
+        self.assertEqual(wanted, DurableCatalogue(FaultyFiles(files.written), FRAME).changes_by_id)
+        keeper.log.snapshot(
+            encode_snapshot(4, keeper.current.titles, 2, [(id, *what) for id, what in keeper.changes_by_id.items()])
+        )
         again = DurableCatalogue(FaultyFiles(files.written), FRAME)
-        self.assertEqual((wanted, 2, 4), (again.done, again.floor, again.settled))
+        self.assertEqual((wanted, 2, 4), (again.changes_by_id, again.floor, again.committed_version))
 
     def test_a_delta_of_another_shape_is_refused_by_name(self):
         delta, who, why, id = decode_delta(encode_delta(Catalogue(FRAME).apply([put()]), "a", "b", "c"))
@@ -261,13 +263,13 @@
             if n % 100 == 0:
                 keeper.commit()
         self.pump(watcher, follower, keeper)
-        self.assertEqual((10_001, keeper.now.titles), (follower.version, follower.titles))
+        self.assertEqual((10_001, keeper.current.titles), (follower.version, follower.titles))
         keeper.history.clear()  # what it was away for is known no more: the whole
         keeper.stage([put("last")])
         keeper.commit()
         late, other = Watcher("n", "manager", "e", 5, "e"), Follower()
         self.pump(late, other, keeper)
-        self.assertEqual(keeper.now.titles, other.titles)
+        self.assertEqual(keeper.current.titles, other.titles)
 
     def test_a_refused_version_leaves_the_last_good_one_and_a_later_one_mends_it(self):
         def check(titles):
