--- a/flaxscale/catalogue/state.py
+++ b/flaxscale/catalogue/state.py
@@ -13,7 +13,10 @@
 
 PREPARING, HOLDING, LEAVING = "preparing", "holding", "leaving"
 STATES = (PREPARING, HOLDING, LEAVING)
-NAME_LIMIT, CODEC_LIMIT, HOLDERS_LIMIT, OPS_LIMIT = 200, 16, 4096, 200_000
+NAME_LIMIT = 200  # characters
+CODEC_LIMIT = 16  # codecs of a title
+HOLDERS_LIMIT = 4096  # holders of a title
+OPS_LIMIT = 200_000  # operations in a change set
 
 
 class Title(msgspec.Struct, frozen=True, gc=False):
