--- a/flaxscale/catalogued/__init__.py
+++ b/flaxscale/catalogued/__init__.py
@@ -1,1 +1,1 @@
-"""The catalogue on sockets: the gRPC service, its client, and the watcher that managers and boxes run."""
+"""The catalogue over gRPC: the service, the operators' client, and the watchers in managers and boxes."""
--- a/flaxscale/catalogued/client.py
+++ b/flaxscale/catalogued/client.py
@@ -1,4 +1,4 @@
-"""The operators' side of the catalogue service: one call, one answer, errors in plain words."""
+"""The operators' client of the catalogue service."""
 
 import asyncio
 import secrets
@@ -11,26 +11,28 @@
 from ..proto import catalogue_pb2_grpc as pb_grpc
 from ..proto import peaks_pb2_grpc
 from ..serve.clock import now
-from .streams import channel_to
+from .streams import open_channel
 
-PAUSE_S = 0.1
+RETRY_PAUSE_S = 0.1  # between two attempts of a call
 
 
 def new_id():
-    """One for a change that no other has."""
+    """A random id for a change."""
     return secrets.token_hex(8)
 
 
 class ServiceError(Exception):
-    """The service did not answer, or not as asked."""
+    """A call failed; the message has the address and the gRPC status."""
 
 
 class Client:
+    """A connection to the service, as a context manager."""
+
     def __init__(self, address):
         self.address = address
 
     async def __aenter__(self):
-        self.channel = channel_to(self.address)
+        self.channel = open_channel(self.address)
         self.stub, self.peaks = pb_grpc.CatalogueStub(self.channel), peaks_pb2_grpc.PeaksStub(self.channel)
         return self
 
@@ -38,22 +40,22 @@
         await self.channel.close()
 
     async def call(self, method, request, timeout=30.0, stub=None, retry_for_s=0.0):
-        """One call, of the catalogue or, with stub=self.peaks, of announced peaks. ServiceError with the reason.
+        """One call, of the catalogue service or, with stub=self.peaks, of the peak service. Raises ServiceError.
 
         retry_for_s: how long a call without an answer is repeated. Only for calls that have an id or change nothing.
         """
-        until = now() + round(retry_for_s * 10_000)
+        deadline = now() + round(retry_for_s * 10_000)
         while True:
             try:
                 return await getattr(stub or self.stub, method)(request, timeout=timeout)
             except grpc.aio.AioRpcError as error:
-                if error.code() is grpc.StatusCode.UNAVAILABLE and now() < until:
-                    await asyncio.sleep(PAUSE_S)
+                if error.code() is grpc.StatusCode.UNAVAILABLE and now() < deadline:
+                    await asyncio.sleep(RETRY_PAUSE_S)
                     continue
                 raise ServiceError(f"{self.address}: {error.code().name}: {error.details()}") from None
 
     async def change(self, ops, expect=None, force=False, dry=False, who="", why="", id=None, retry_for_s=0.0):
-        """The ChangeReply. ops: operations of catalogue.state. id: the change's own; drawn where it is left out."""
+        """Makes a change and returns the ChangeReply. ops: operations of catalogue.state. id: random by default."""
         return await self.call(
             "Change",
             pb.ChangeRequest(
@@ -69,12 +71,12 @@
         )
 
     async def get(self, version=None, titles=()):
-        """(version, {name: Title})."""
-        found, at = {}, 0
+        """(version, {name: Title}) at a version (default: the latest), of the given titles or all."""
+        titles_by_name, found_version = {}, 0
         try:
             async for part in self.stub.Get(pb.GetRequest(version=version, titles=titles), timeout=60.0):
-                at = part.version
-                found.update((t.name, wire.title_from_pb(t)) for t in part.titles)
+                found_version = part.version
+                titles_by_name.update((t.name, wire.title_from_pb(t)) for t in part.titles)
         except grpc.aio.AioRpcError as error:
             raise ServiceError(f"{self.address}: {error.code().name}: {error.details()}") from None
-        return at, found
+        return found_version, titles_by_name
--- a/flaxscale/catalogued/leases.py
+++ b/flaxscale/catalogued/leases.py
@@ -1,7 +1,7 @@
-"""Leases at the catalogue's service: grants over the watch streams, made durable together, and what is acted on here.
+"""Leases at the catalogue service: grants over the watch streams, and acts that are carried out here under leases.
 
-A grant, a fence that has moved and what an act did are one record each in a log of their own; one sync makes all that
-came within GATHER_S durable, and only then is any of it told. Who may hold what is leases.granter's.
+Each grant, moved fence and result of an act is a record in a separate log. Records that come within COMMIT_DELAY_S
+become durable with one sync, and answers are sent only after it. leases.granter decides who may hold what.
 """
 
 import asyncio
@@ -20,15 +20,15 @@
 from ..store.shapes import decoded
 from .store_retry import StoreRetry
 
-GATHER_S = 0.002
-SNAPSHOT_EVERY = 2_000
-BROKEN_MS = 5_000  # whoever asks a service whose store failed is told to ask again after this
+COMMIT_DELAY_S = 0.002  # records that come within this time share one sync
+SNAPSHOT_EVERY = 2_000  # records
+RETRY_AFTER_MS = 5_000  # time after which a lease should be requested again while the store has failed
 SHAPE = 1
-OPERATOR = "operator"
+OPERATOR = "operator"  # begins the owner name of a released piece
 
 
-class Kept(msgspec.Struct, array_like=True):
-    """A record or a snapshot: kind "grant", "fence", "done" or "whole"."""
+class StoredRecord(msgspec.Struct, array_like=True):
+    """A log record of kind "grant", "fence" or "done", or a snapshot of kind "whole"."""
 
     shape: int
     kind: str
@@ -39,118 +39,124 @@
 
 
 class LeaseService:
-    """tasks: {name: Task}. act(task, what, owner): does one act, tells what it did; ValueError where it can't."""
+    """Grants leases and carries out acts.
 
-    def __init__(self, files, tasks, act, log, record=None):
-        self.tasks, self.act, self.log, self.record = tasks, act, log, record
+    tasks: {name: Task}. act(task, request, owner): carries out one act and returns its result, or raises ValueError.
+    """
+
+    def __init__(self, files, tasks, act, log, recorder=None):
+        self.tasks, self.act, self.log, self.recorder = tasks, act, log, recorder
         self.store, self.granter, self.fence = Log(files), Granter(tasks, now()), Fence()
-        self.done, self.done_at, self.asked_in_vain = {}, {}, {}  # by piece: what was done last, when; who and why
+        # By piece: the last act's result, its time, and {owner: reason of the latest refusal}.
+        self.last_acts, self.last_act_at, self.refusals = {}, {}, {}
         found = self.store.found
         for data in ([found.snapshot] if found.snapshot is not None else []) + [data for _, data in found.records]:
-            self.take(decoded(data, Kept, SHAPE, "state of leases"))
+            self.load_record(decoded(data, StoredRecord, SHAPE, "state of leases"))
         self.granter.era(time.time())
-        self.opens = self.granter.opened
-        self.commit_timer, self.waiting, self.broken = None, [], None
-        self.resuming = StoreRetry(self.resume, self.resumed)
-        if record:
-            record.put("leases", opens=self.opens - now())
+        self.grants_from = self.granter.opened
+        self.commit_timer, self.waiters, self.broken = None, [], None
+        self.store_retry = StoreRetry(self.resume, self.on_resumed)
+        if recorder:
+            recorder.put("leases", opens=self.grants_from - now())
             for task in tasks.values():
-                record.put("duty", **task._asdict())
+                recorder.put("duty", **task._asdict())
 
-    def take(self, kept):
-        if kept.kind == "whole":
-            self.granter.load(kept.data, now())
-            self.fence, self.done = Fence(kept.fence), dict(kept.done)
-        elif kept.kind == "grant":
-            self.granter.take(kept.data, now())
-        elif kept.kind == "fence":
-            self.fence = Fence(kept.fence)
-        elif kept.kind == "done":
-            self.done[kept.piece] = kept.data
+    def load_record(self, stored):
+        """Applies a record or a snapshot at start."""
+        if stored.kind == "whole":
+            self.granter.load(stored.data, now())
+            self.fence, self.last_acts = Fence(stored.fence), dict(stored.done)
+        elif stored.kind == "grant":
+            self.granter.take(stored.data, now())
+        elif stored.kind == "fence":
+            self.fence = Fence(stored.fence)
+        elif stored.kind == "done":
+            self.last_acts[stored.piece] = stored.data
 
     def put(self, kind, **fields):
-        self.store.append(msgspec.msgpack.encode(Kept(SHAPE, kind, **fields)))
+        self.store.append(msgspec.msgpack.encode(StoredRecord(SHAPE, kind, **fields)))
 
-    def durable(self):
-        """A future of all that was put until now being durable; an OSError where that is not known."""
+    def when_durable(self):
+        """A future that is done when all records so far are durable. OSError: it is not known whether they are."""
         done = asyncio.get_running_loop().create_future()
         if self.broken is not None:
             done.set_exception(self.broken)
             return done
-        self.waiting.append(done)
+        self.waiters.append(done)
         if self.commit_timer is None:
-            self.commit_timer = asyncio.get_running_loop().call_later(GATHER_S, self.commit)
+            self.commit_timer = asyncio.get_running_loop().call_later(COMMIT_DELAY_S, self.commit)
         return done
 
     def commit(self):
-        self.commit_timer, waiting, self.waiting = None, self.waiting, []
+        self.commit_timer, waiters, self.waiters = None, self.waiters, []
         try:
             self.store.commit()
             if self.store.since_snapshot >= SNAPSHOT_EVERY:
                 self.compact()
-        except (
-            OSError
-        ) as error:  # what reached the disk is not known: nothing is granted until the state is written anew
+        except OSError as error:
+            # What reached the disk is unknown: no grants until the state is rewritten.
             self.broken = error
             self.log.error("leases' store failed", detail=str(error))
-            self.resuming.begin()
-            for done in waiting:
+            self.store_retry.schedule()
+            for done in waiters:
                 if not done.done():
                     done.set_exception(error)
             return
-        for done in waiting:
+        for done in waiters:
             if not done.done():
                 done.set_result(None)
 
     def resume(self):
-        """Writes the state anew. What was granted and not told is kept too: its span is waited out."""
-        self.store.resume(self.whole())
+        """Rewrites the state. It includes unsent grants, which block the piece until their span ends."""
+        self.store.resume(self.encoded_state())
 
-    def resumed(self):
+    def on_resumed(self):
         self.broken = None
         self.log.info("leases' store taken up again")
 
     def stop(self):
-        self.resuming.stop()
+        self.store_retry.stop()
 
     def compact(self):
-        self.store.snapshot(self.whole())
+        self.store.snapshot(self.encoded_state())
 
-    def whole(self):
-        return msgspec.msgpack.encode(Kept(SHAPE, "whole", "", self.granter.dump(), self.fence.dump(), self.done))
+    def encoded_state(self):
+        return msgspec.msgpack.encode(
+            StoredRecord(SHAPE, "whole", "", self.granter.dump(), self.fence.dump(), self.last_acts)
+        )
 
-    # From a watcher's stream
+    # Messages of a watcher's stream
 
-    async def handle(self, said, tell):
-        """All that one message asks for. tell(WatchReply) for each answer, once what it says is durable."""
-        if self.broken is not None:  # who holds goes on until its span ends; nothing is granted or done here
-            for ask in said.leases:
-                tell(
+    async def handle(self, message, send):
+        """Handles the requests of one message. send(WatchReply) is called for each answer once it is durable."""
+        if self.broken is not None:  # holders go on until their span ends; no grants or acts here
+            for ask in message.leases:
+                send(
                     pb.WatchReply(
-                        lease=pb.LeaseTold(piece=ask.piece, number=ask.number, refused=True, left_ms=BROKEN_MS)
+                        lease=pb.LeaseTold(piece=ask.piece, number=ask.number, refused=True, left_ms=RETRY_AFTER_MS)
                     )
                 )
             return
-        self.granter.seen(said.seen)
-        told, new = [], False
-        for ask in said.leases:
+        self.granter.seen(message.seen)
+        replies, new = [], False
+        for ask in message.leases:
             if not ask.number:
-                if self.granter.give(ask.piece, said.owner, ask.token, now()):
+                if self.granter.give(ask.piece, message.owner, ask.token, now()):
                     self.put("grant", data=self.granter.record())
-                    self.note("given", ask.piece, said.owner, ask.token)
+                    self.record_event("given", ask.piece, message.owner, ask.token)
                 continue
-            answer = self.granter.ask(ask.piece, said.owner, ask.token, now())
+            answer = self.granter.ask(ask.piece, message.owner, ask.token, now())
             if isinstance(answer, Granted):
                 if answer.new:
                     new = True
                     self.put("grant", data=self.granter.record())
-                    self.note("granted", ask.piece, said.owner, answer.token)
-                    self.asked_in_vain.pop(ask.piece, None)
-                told.append(pb.LeaseTold(piece=ask.piece, number=ask.number, token=answer.token))
+                    self.record_event("granted", ask.piece, message.owner, answer.token)
+                    self.refusals.pop(ask.piece, None)
+                replies.append(pb.LeaseTold(piece=ask.piece, number=ask.number, token=answer.token))
             else:
-                why = f"{answer.owner} has it" if answer.owner else "nothing is granted yet after a start"
-                self.asked_in_vain.setdefault(ask.piece, {})[said.owner] = why
-                told.append(
+                why = f"{answer.owner} has it" if answer.owner else "no grants yet after the service started"
+                self.refusals.setdefault(ask.piece, {})[message.owner] = why
+                replies.append(
                     pb.LeaseTold(
                         piece=ask.piece,
                         number=ask.number,
@@ -162,54 +168,55 @@
                 )
         try:
             if new:
-                await self.durable()
+                await self.when_durable()
         except OSError:
-            return  # told nothing: it asks again, in vain until the service is started anew
-        for row in told:
-            tell(pb.WatchReply(lease=row))
-        for act in said.acts:
-            tell(pb.WatchReply(act=await self.acted(said.owner, act)))
+            return  # no answer: the owner asks again, and is refused until the store is usable
+        for row in replies:
+            send(pb.WatchReply(lease=row))
+        for act in message.acts:
+            send(pb.WatchReply(act=await self.perform(message.owner, act)))
 
-    async def acted(self, owner, act):
-        """Does it where the fence takes it, as an act of its own in the records."""
+    async def perform(self, owner, act):
+        """Carries out an act if the fence accepts its token, and records it."""
         task, at = task_of(act.piece), now()
         self.granter.seen(act.token)
         if task not in self.tasks:
-            return pb.ActTold(piece=act.piece, number=act.number, refused=f"no duty {task[:40]!r} is on here")
+            return pb.ActTold(piece=act.piece, number=act.number, refused=f"the duty {task[:40]!r} is not enabled here")
         if not self.fence.takes(act.piece, act.token, owner):
-            known = self.fence.token(act.piece)
-            self.granter.seen(known)
-            self.note("refused", act.piece, owner, act.token)
-            return pb.ActTold(piece=act.piece, number=act.number, token=known, refused="an outdated lease")
+            known_token = self.fence.token(act.piece)
+            self.granter.seen(known_token)
+            self.record_event("refused", act.piece, owner, act.token)
+            return pb.ActTold(piece=act.piece, number=act.number, token=known_token, refused="an outdated lease")
         self.put("fence", fence=self.fence.dump())
         try:
-            await self.durable()
-            # Another may have come between: what the fence took first is not done after what it took later.
+            await self.when_durable()
+            # Another act may have passed the fence during the sync; an act is not carried out after a later one.
             if self.fence.last[act.piece] != (act.token, owner):
-                self.note("refused", act.piece, owner, act.token)
+                self.record_event("refused", act.piece, owner, act.token)
                 return pb.ActTold(
                     piece=act.piece, number=act.number, token=self.fence.token(act.piece), refused="an outdated lease"
                 )
-            self.note("act", act.piece, owner, act.token)
-            said = await self.act(task, msgspec.json.decode(act.what or b"{}"), owner)
-            last = json.dumps({"by": owner, "token": act.token, "did": said}).encode()
-            self.done[act.piece], self.done_at[act.piece] = last, at
+            self.record_event("act", act.piece, owner, act.token)
+            result = await self.act(task, msgspec.json.decode(act.what or b"{}"), owner)
+            last = json.dumps({"by": owner, "token": act.token, "did": result}).encode()
+            self.last_acts[act.piece], self.last_act_at[act.piece] = last, at
             self.put("done", piece=act.piece, data=last)
-            await self.durable()
+            await self.when_durable()
         except (OSError, ValueError, msgspec.MsgspecError, grpc.aio.AbortError) as error:
             return pb.ActTold(piece=act.piece, number=act.number, refused=str(error)[:300])
-        return pb.ActTold(piece=act.piece, number=act.number, said=json.dumps(said).encode())
+        return pb.ActTold(piece=act.piece, number=act.number, said=json.dumps(result).encode())
 
-    def note(self, what, piece, owner, token):
-        self.log.info("lease", did=what, piece=piece, owner=owner, token=token)
-        if self.record:
-            self.record.put("lease", did=what, piece=piece, owner=owner, token=token)
+    def record_event(self, event, piece, owner, token):
+        """Writes a lease event to the log and to the recorder."""
+        self.log.info("lease", did=event, piece=piece, owner=owner, token=token)
+        if self.recorder:
+            self.recorder.put("lease", did=event, piece=piece, owner=owner, token=token)
 
     # Operators
 
-    async def tell(self, request):
-        """LeasesReply; with `release` a piece is in nobody's hands first, under a token that outdates its holder's."""
-        refused, time = "", now()
+    async def answer_operator(self, request):
+        """The LeasesReply. With `release`, a piece is first taken from its holder by a newer token."""
+        refused, time_now = "", now()
         if request.release and self.broken is not None:
             refused = f"the store failed: {self.broken}"
         elif request.release:
@@ -217,18 +224,18 @@
             if row is None:
                 refused = f"no lease of {request.release[:60]!r} was ever granted"
             else:
-                # A token of the operator's own: the fence here knows it, so that the holder's acts are refused at once.
+                # The operator gets a token of its own. The fence here has it at once and refuses the holder's acts.
                 self.granter.count += 1
                 token, owner = self.granter.count, f"{OPERATOR}.{request.who[:60]}"
-                # Free of new holders until the released one's grant is over, as it was.
+                # No new holder before the released holder's span ends; `until` stays as it was.
                 self.granter.rows[request.release] = row._replace(owner=owner, token=token)
                 self.granter.note(request.release, "released", owner, token)
                 self.fence.takes(request.release, token, owner)
                 self.put("grant", data=self.granter.record())
                 self.put("fence", fence=self.fence.dump())
-                self.note("released", request.release, owner, token)
+                self.record_event("released", request.release, owner, token)
                 try:
-                    await self.durable()
+                    await self.when_durable()
                 except OSError as error:
                     refused = str(error)
         rows = [
@@ -236,10 +243,10 @@
                 piece=piece,
                 owner=row.owner,
                 token=row.token,
-                left_ms=(row.until - time) // 10,
-                last=self.done.get(piece, b"").decode(),
-                last_ms_ago=(time - self.done_at.get(piece, time)) // 10,
-                refused=[f"{o}: {why}" for o, why in sorted(self.asked_in_vain.get(piece, {}).items())],
+                left_ms=(row.until - time_now) // 10,
+                last=self.last_acts.get(piece, b"").decode(),
+                last_ms_ago=(time_now - self.last_act_at.get(piece, time_now)) // 10,
+                refused=[f"{o}: {why}" for o, why in sorted(self.refusals.get(piece, {}).items())],
             )
             for piece, row in sorted(self.granter.rows.items())
         ]
@@ -247,7 +254,7 @@
         return pb.LeasesReply(
             on=True,
             count=self.granter.count,
-            opens_ms=(self.opens - time) // 10,
+            opens_ms=(self.grants_from - time_now) // 10,
             rows=rows,
             refused=refused,
             past=[pb.LeaseEvent(piece=e.piece, what=e.what, owner=e.owner, token=e.token) for e in past],
--- a/flaxscale/catalogued/peak_watch.py
+++ b/flaxscale/catalogued/peak_watch.py
@@ -1,4 +1,4 @@
-"""Follows announced peaks: a stream that comes back by itself, the last good version kept on disk."""
+"""A manager's watch on announced peaks: a stream that reconnects, and the last good version on disk."""
 
 import asyncio
 
@@ -10,75 +10,79 @@
 from ..proto import peaks_pb2_grpc as pb_grpc
 from ..store.latest import Latest
 from ..store.log import StoreError
-from .streams import cancel_and_wait, channel_to, come_back
+from .streams import cancel_and_wait, open_channel, run_with_reconnect
 
-SNAPSHOT_EVERY = 50
+SNAPSHOT_EVERY = 50  # versions
 
 
 class PeakWatch:
-    def __init__(self, address, name, changed, clock_heard, log, files=None, check=lambda peaks: ()):
-        """changed(peaks): a version was taken. clock_heard(seconds): the service's clock, as just heard."""
-        self.address, self.name, self.changed, self.clock_heard, self.log = address, name, changed, clock_heard, log
+    """Follows the peak service over a stream."""
+
+    def __init__(self, address, name, on_change, on_clock, log, files=None, check=lambda peaks: ()):
+        """on_change(peaks): called for each applied version. on_clock(seconds): for each service clock received."""
+        self.address, self.name, self.on_change, self.on_clock, self.log = address, name, on_change, on_clock, log
         self.follower, self.files, self.store, self.task, self.up = Follower(check), files, None, None, False
         self.call = None
 
     def start(self):
         if self.files is not None:
             self.load()
-        self.task = asyncio.get_running_loop().create_task(come_back(self.one_stream, self.closed))
+        self.task = asyncio.get_running_loop().create_task(run_with_reconnect(self.run_stream, self.on_closed))
 
     def load(self):
+        """Reads the stored version. Unreadable data is not used, and nothing is stored from then on."""
         try:
             self.store = Latest(self.files, SNAPSHOT_EVERY)
             if self.store.kept is not None:
                 epoch, book = decode(self.store.kept)
                 self.follower.take(epoch, book.version, book.peaks.values())
-                self.changed(self.follower.peaks)
+                self.on_change(self.follower.peaks)
         except (StoreError, OSError, ValueError) as error:
             self.log.error("kept peaks not used", detail=str(error))
             self.store = None
 
-    def keep(self):
+    def persist(self):
+        """Stores the present version."""
         if self.store is None:
             return
-        f = self.follower
+        follower = self.follower
         try:
-            self.store.put(encode(f.epoch, PeakBook(f.version, f.peaks)))
+            self.store.put(encode(follower.epoch, PeakBook(follower.version, follower.peaks)))
         except OSError as error:
             self.log.error("peaks not kept", detail=str(error))
             self.store = None
 
-    def closed(self, why):
+    def on_closed(self, why):
         self.up, self.call = False, None
         if why is not None:
             self.log.info("peaks not followed", detail=why[:300])
 
-    async def one_stream(self):
-        f = self.follower
-        async with channel_to(self.address) as channel:
+    async def run_stream(self):
+        follower = self.follower
+        async with open_channel(self.address) as channel:
             call = pb_grpc.PeaksStub(channel).Watch()
-            await call.write(pb.WatchRequest(name=self.name, epoch=f.epoch or "", version=f.version or 0))
+            await call.write(pb.WatchRequest(name=self.name, epoch=follower.epoch or "", version=follower.version or 0))
             while (reply := await call.read()) is not grpc.aio.EOF:
                 self.up, self.call = True, call
-                self.clock_heard(reply.now_s)
+                self.on_clock(reply.now_s)
                 if not reply.beat:
-                    await call.write(self.take(reply))
+                    await call.write(self.apply_reply(reply))
 
-    def take(self, reply):
-        """One version; what to say to it."""
+    def apply_reply(self, reply):
+        """Applies a version; the acknowledgement or refusal to send."""
         try:
-            moved = self.follower.take(reply.epoch, reply.version, [wire.peak_in(p) for p in reply.peaks])
+            applied = self.follower.take(reply.epoch, reply.version, [wire.peak_in(p) for p in reply.peaks])
         except ValueError as error:
             self.log.error("peaks refused", version=reply.version, why=str(error)[:300])
             return pb.WatchRequest(name=self.name, refusal=pb.Refusal(version=reply.version, why=str(error)[:500]))
-        if moved:
+        if applied:
             self.log.info("peaks", version=reply.version, count=len(reply.peaks))
-            self.changed(self.follower.peaks)
-            self.keep()
+            self.on_change(self.follower.peaks)
+            self.persist()
         return pb.WatchRequest(name=self.name, ack=reply.version)
 
     async def report_seen(self, seen):
-        """What was seen come: [(name, came, due, kB a second kept)]. Lost where the stream is down."""
+        """Reports the arrivals: [(name, arrived, due, kB a second kept)]. Dropped while the stream is down."""
         if self.call is not None and seen:
             try:
                 await self.call.write(
@@ -87,7 +91,7 @@
                     )
                 )
             except (grpc.aio.AioRpcError, grpc.aio.UsageError, asyncio.InvalidStateError):
-                pass  # the stream is just ending; the next one tells it anew
+                pass  # the stream is closing; the next report has the totals again
 
     async def stop(self):
         await cancel_and_wait(self.task)
--- a/flaxscale/catalogued/store_retry.py
+++ b/flaxscale/catalogued/store_retry.py
@@ -1,27 +1,28 @@
-"""A store that failed is tried again until the disk takes the owner's state; until then the owner takes nothing new."""
+"""Retries of a failed store until its owner's state is written; until then the owner accepts no changes."""
 
 import asyncio
 
-RESUME_S = 1.0  # between two tries: a full disk is seldom emptied sooner, and each try writes the whole state
+RETRY_S = 1.0  # between attempts: a full disk is rarely cleared sooner, and each attempt writes the whole state
 
 
 class StoreRetry:
-    """resume() writes the state anew, or raises OSError; resumed() is called once it has."""
+    """Calls resume(), which rewrites the state or raises OSError, until it succeeds; then calls on_resumed()."""
 
-    def __init__(self, resume, resumed):
-        self.resume, self.resumed, self.timer = resume, resumed, None
+    def __init__(self, resume, on_resumed):
+        self.resume, self.on_resumed, self.timer = resume, on_resumed, None
 
-    def begin(self):
-        self.timer = asyncio.get_running_loop().call_later(RESUME_S, self.again)
+    def schedule(self):
+        """Schedules the next attempt."""
+        self.timer = asyncio.get_running_loop().call_later(RETRY_S, self.attempt)
 
-    def again(self):
+    def attempt(self):
         try:
             self.resume()
         except OSError:
-            self.begin()
+            self.schedule()
             return
         self.timer = None
-        self.resumed()
+        self.on_resumed()
 
     def stop(self):
         if self.timer is not None:
--- a/flaxscale/catalogued/streams.py
+++ b/flaxscale/catalogued/streams.py
@@ -1,4 +1,4 @@
-"""What all gRPC streams here have in common: a first message that names, a channel, an end, and coming back."""
+"""Shared parts of the gRPC streams: channels, the first message, reconnection and cancellation."""
 
 import asyncio
 import contextlib
@@ -8,18 +8,19 @@
 from ..serve.clock import now
 from ..serve.limit import within
 
-RETRY_S, RETRY_MOST_S = 0.2, 3.0
-LASTED = 50_000  # a stream that was up so long is asked for again at once
-AGAIN_S = 0.2
-LARGE = 64 << 20
+RETRY_MIN_S, RETRY_MAX_S = 0.2, 3.0
+STABLE_AFTER = 50_000  # tenths of ms; after a stream that lasted longer the pause starts from its minimum again
+RECANCEL_S = 0.2  # between two cancellations of a task
+MAX_MESSAGE_BYTES = 64 << 20
 
 
-def channel_to(address):
+def open_channel(address):
+    """A gRPC channel to the catalogue service."""
     return grpc.aio.insecure_channel(
         address,
         options=[
-            ("grpc.max_receive_message_length", LARGE),
-            ("grpc.max_send_message_length", LARGE),
+            ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
+            ("grpc.max_send_message_length", MAX_MESSAGE_BYTES),
             ("grpc.use_local_subchannel_pool", 1),
             ("grpc.initial_reconnect_backoff_ms", 200),
             ("grpc.enable_http_proxy", 0),
@@ -27,8 +28,8 @@
     )
 
 
-async def first_of(context):
-    """The first message of a watcher, which says its name; None where it went without one."""
+async def first_message(context):
+    """The first message of a watcher, which has its name; None if the stream ends before it."""
     first = await context.read()
     if first is grpc.aio.EOF:
         return None
@@ -37,40 +38,41 @@
     return first
 
 
-async def hear_all(context, hear, wake):
-    """Each message of a watcher until its stream ends; wake is set then."""
+async def read_all(context, receive, wake):
+    """Passes each message of a watcher to receive() until the stream ends, then sets wake."""
     try:
-        while (said := await context.read()) is not grpc.aio.EOF:
-            hear(said)
+        while (message := await context.read()) is not grpc.aio.EOF:
+            receive(message)
     finally:
         wake.set()
 
 
-async def come_back(one_stream, closed, sooner=None):
-    """Streams one after another, with a pause that grows. one_stream() may return why; closed(why) after each.
+async def run_with_reconnect(run_stream, on_closed, reconnect_event=None):
+    """Runs run_stream() repeatedly with growing pauses, and on_closed(why) after each run.
 
-    why is None where the task was cancelled: there is nothing to say of that. sooner: an Event that ends a pause.
+    run_stream() may return the reason of its end. why: that reason, the gRPC error, or None if the task was cancelled.
+    reconnect_event: an Event that ends a pause.
     """
-    pause, sooner = RETRY_S, sooner or asyncio.Event()
+    pause, reconnect_event = RETRY_MIN_S, reconnect_event or asyncio.Event()
     while True:
         began, why = now(), None
         try:
-            why = await one_stream() or "the stream ended"
+            why = await run_stream() or "the stream ended"
         except grpc.aio.AioRpcError as error:
             why = f"{error.code().name}: {error.details()}"
         finally:
-            closed(why)
-        pause = RETRY_S if now() - began > LASTED else min(RETRY_MOST_S, pause * 1.7)
+            on_closed(why)
+        pause = RETRY_MIN_S if now() - began > STABLE_AFTER else min(RETRY_MAX_S, pause * 1.7)
         with contextlib.suppress(asyncio.TimeoutError):
-            await within(pause, sooner.wait())
-        sooner.clear()
+            await within(pause, reconnect_event.wait())
+        reconnect_event.clear()
 
 
 async def cancel_and_wait(task):
-    """Ends a task that is inside gRPC, and returns when it is over, however it ends.
+    """Cancels a task that may be inside a gRPC call, and returns when the task is done, whatever its outcome.
 
-    A cancel that comes just as a stream breaks can be lost there, so it is said again.
+    A cancellation at the moment when a stream breaks can be lost inside gRPC, so it is repeated.
     """
     while task is not None and not task.done():
         task.cancel()
-        await asyncio.wait({task}, timeout=AGAIN_S)
+        await asyncio.wait({task}, timeout=RECANCEL_S)
--- a/flaxscale/cli/catalogue.py
+++ b/flaxscale/cli/catalogue.py
@@ -53,8 +53,8 @@
     except (StoreError, ValueError, OSError) as error:
         click.echo(f"flaxscale: {store}: {error}", err=True)
         sys.exit(BAD)
-    if made.keeper.log.found.cut:
-        made.log.warning("torn tail cut", bytes=made.keeper.log.found.cut)
+    if made.catalogue.log.found.cut:
+        made.log.warning("torn tail cut", bytes=made.catalogue.log.found.cut)
 
     async def main():
         address = await made.start(host, port)
@@ -62,11 +62,11 @@
             "serves",
             host=address[0],
             port=address[1],
-            version=made.keeper.committed_version,
-            titles=len(made.keeper.current.titles),
+            version=made.catalogue.committed_version,
+            titles=len(made.catalogue.current.titles),
         )
         if say_ready:
-            ready(*address, version=made.keeper.committed_version)
+            ready(*address, version=made.catalogue.committed_version)
         await service.until_signal()
         await made.stop()
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -183,7 +183,7 @@
                     self.assertNotIn(again.granter.ask("duty", "d.1", 0, 1 << 40).token, [t for _, t in tokens])
                 if acted:
                     self.assertFalse(again.fence.takes("duty", 1, "z.1"))
-                    self.assertIn(acted[-1].encode(), again.done["duty"])
+                    self.assertIn(acted[-1].encode(), again.last_acts["duty"])
 
     async def test_a_disk_that_is_full_ends_granting_and_tells_nothing(self):
         service, told = self.service(FaultyFiles(room=150)), []
@@ -215,7 +215,7 @@
         for left in disk.survivors():  # what was acknowledged before and after the fault outlives the power
             again = self.service(FaultyFiles(left))
             self.assertFalse(again.fence.takes("duty", token - 1, "z.1") and again.granter.count < token)
-            self.assertIn("duty", again.done)
+            self.assertIn("duty", again.last_acts)
             self.assertGreaterEqual(again.granter.count, token)
 
 
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -99,13 +99,13 @@
 
     async def test_the_service_dies_and_comes_back(self):
         port = int(self.catalogue.rpartition(":")[2])
-        version = self.service.keeper.committed_version
+        version = self.service.catalogue.committed_version
         await self.service.stop()
         await self.log[0].seen("catalogue not followed")
         self.assertEqual("plays", (await self.ask("one")).fate)  # the last good one serves on
         self.assertGreaterEqual(self.fronts[0].catalogue_state()["heard_s_ago"], 0)
         await self.start_service(port)
-        self.assertEqual(version, self.service.keeper.committed_version)
+        self.assertEqual(version, self.service.catalogue.committed_version)
         reply = await self.change(Put("after", "clip", holders=held(3)))
         self.assertEqual(version + 1, reply.version)
         await self.taken(reply.version)
@@ -127,7 +127,7 @@
 
     async def test_a_manager_that_refuses_a_version_serves_on_and_who_tells(self):
         self.fronts[0].sense.packages.pop("push")  # this manager's terms know no such package
-        version = self.service.keeper.committed_version
+        version = self.service.catalogue.committed_version
         await self.change(Put("odd", None, "push", holders=held(1)))
         await self.log[0].seen("catalogue refused")
         await self.service_rows.seen("refused")
@@ -140,7 +140,7 @@
         await self.taken(reply.version)
 
     async def test_two_operators_a_dry_run_and_a_rollback(self):
-        version = self.service.keeper.committed_version
+        version = self.service.catalogue.committed_version
         dry = await self.change(Drop("one"), dry=True)
         self.assertEqual((version, 1), (dry.version, dry.changed))
         first, second = await asyncio.gather(
@@ -165,7 +165,7 @@
         def fail(name):
             raise OSError(28, "no space left on device")
 
-        version = self.service.keeper.committed_version
+        version = self.service.catalogue.committed_version
         self.service.files.sync = fail
         with self.assertRaises(ServiceError):
             await self.change(Put("lost", "clip", holders=held(1)))
