--- a/flaxscale/cli/catalogue.py
+++ b/flaxscale/cli/catalogue.py
@@ -1,4 +1,4 @@
-"""flaxscale catalogue: the service and its operators' commands."""
+"""flaxscale catalogue: the service and the operators' commands."""
 
 import contextlib
 import functools
@@ -40,7 +40,7 @@
     found = site_errors(lambda: read_site(site))
     try:
         log = logger(log_level, None, program="catalogue")
-        made = CatalogueService(
+        server = CatalogueService(
             Files(store),
             frame_of(found),
             log,
@@ -53,28 +53,28 @@
     except (StoreError, ValueError, OSError) as error:
         click.echo(f"flaxscale: {store}: {error}", err=True)
         sys.exit(BAD)
-    if made.catalogue.log.found.cut:
-        made.log.warning("torn tail cut", bytes=made.catalogue.log.found.cut)
+    if server.catalogue.log.found.cut:
+        server.log.warning("torn tail cut", bytes=server.catalogue.log.found.cut)
 
     async def main():
-        address = await made.start(host, port)
-        made.log.info(
+        address = await server.start(host, port)
+        server.log.info(
             "serves",
             host=address[0],
             port=address[1],
-            version=made.catalogue.committed_version,
-            titles=len(made.catalogue.current.titles),
+            version=server.catalogue.committed_version,
+            titles=len(server.catalogue.current.titles),
         )
         if say_ready:
-            ready(*address, version=made.catalogue.committed_version)
+            ready(*address, version=server.catalogue.committed_version)
         await service.until_signal()
-        await made.stop()
+        await server.stop()
 
     service.run(main())
 
 
 def service_command(command):
-    """A command that calls the service; what goes wrong is one line and a status."""
+    """Makes a command from a coroutine function with a client; errors become one line and an exit status."""
 
     @click.option("--at", default="127.0.0.1:7070", show_default=True, metavar="HOST:PORT")
     @functools.wraps(command)
@@ -94,8 +94,8 @@
     return run
 
 
-def said(reply, dry=False):
-    """Prints what became of a change; its status."""
+def print_outcome(reply, dry=False):
+    """Prints the outcome of a change and returns the exit status."""
     if reply.behind:
         click.echo(f"not made: {reply.behind}", err=True)
         return EXIT_REFUSED
@@ -110,16 +110,17 @@
     return 0
 
 
-RETRY_FOR_S = 3.0  # without an answer a change is asked for again, under its id
+RETRY_FOR_S = 3.0  # a change without an answer is repeated under the same id
 
 
 def change_options(command):
+    """Adds the options of commands that change the catalogue."""
     for option in (
         click.option(
             "--id",
             "id",
             default=None,
-            help="The change's own: asked for again under it, it is made once. Drawn if left out.",
+            help="Id of the change: a repeat with the same id is not made twice. Random by default.",
         ),
         click.option("--why", default="", help="Kept with the change."),
         click.option("--dry", is_flag=True, help="Check only."),
@@ -131,6 +132,7 @@
 
 
 def user_name():
+    """The user to name in the history; empty if unknown."""
     try:
         return getpass.getuser()
     except (KeyError, OSError):
@@ -152,7 +154,7 @@
     if not ops:
         click.echo(f"nothing differs from version {version}")
         return 0
-    return said(
+    return print_outcome(
         await client.change(ops, version if expect is None else expect, force, dry, user_name(), why, id, RETRY_FOR_S),
         dry,
     )
@@ -166,7 +168,9 @@
     """Make the change set in FILE: a Jsonnet list of operations."""
     from ..catalogue.files import read_ops
 
-    return said(await client.change(read_ops(file), expect, force, dry, user_name(), why, id, RETRY_FOR_S), dry)
+    return print_outcome(
+        await client.change(read_ops(file), expect, force, dry, user_name(), why, id, RETRY_FOR_S), dry
+    )
 
 
 @catalogue.command()
@@ -175,10 +179,10 @@
 @service_command
 async def diff(client, old, new):
     """What changed from version OLD to NEW (the present one if left out)."""
-    from ..catalogue.state import diff as differ
+    from ..catalogue.state import diff as title_diff
 
     (_, before), (_, after) = await client.get(old), await client.get(new)
-    for name, (was, now) in differ(before, after).items():
+    for name, (was, now) in title_diff(before, after).items():
         if was is None or now is None:
             click.echo(f"{'+' if was is None else '-'} {name}")
             continue
@@ -186,9 +190,9 @@
             if getattr(was, field) != getattr(now, field):
                 click.echo(f"  {name}: {field} {getattr(was, field)} -> {getattr(now, field)}")
         boxes = {b: [dict(t.holders).get(b, "gone") for t in (was, now)] for b, _ in was.holders + now.holders}
-        for box, (one, two) in sorted(boxes.items()):
-            if one != two:
-                click.echo(f"  {name}: box {box} {one} -> {two}")
+        for box, (old_state, new_state) in sorted(boxes.items()):
+            if old_state != new_state:
+                click.echo(f"  {name}: box {box} {old_state} -> {new_state}")
 
 
 @catalogue.command()
@@ -212,7 +216,7 @@
     from ..catalogued.client import new_id
     from ..proto import catalogue_pb2 as pb
 
-    return said(
+    return print_outcome(
         await client.call(
             "Rollback",
             pb.RollbackRequest(to=version, expect=expect, who=user_name(), id=new_id()),
@@ -240,17 +244,17 @@
 
 
 @contextlib.contextmanager
-def no_banner():
-    """The solver's library greets on the process's own standard output, whatever it is told."""
+def stdout_silenced():
+    """Redirects file descriptor 1: the solver prints a banner there even with output switched off."""
     sys.stdout.flush()
-    kept, nothing = os.dup(1), os.open(os.devnull, os.O_WRONLY)
-    os.dup2(nothing, 1)
+    stdout_copy, null = os.dup(1), os.open(os.devnull, os.O_WRONLY)
+    os.dup2(null, 1)
     try:
         yield
     finally:
-        os.dup2(kept, 1)
-        os.close(kept)
-        os.close(nothing)
+        os.dup2(stdout_copy, 1)
+        os.close(stdout_copy)
+        os.close(null)
 
 
 @catalogue.command("plan")
@@ -280,30 +284,30 @@
         copies: int = 3
         stress: float = 1.5
 
-    asked = decode_as(question, evaluate_jsonnet(question), QuestionRow)
-    for key, good, expected in (
-        ("boxes", asked.boxes, "at least one box"),
-        ("moves", asked.moves >= 0, "0 or more"),
-        ("copies", asked.copies >= 1, "1 or more"),
-        ("stress", asked.stress > 1, "over 1"),
-        ("uplinks", all(r.isdigit() for r in asked.uplinks), "numbers of racks"),
-        ("demand", all(kb >= 0 for kb in asked.demand.values()), "0 or more each"),
+    request = decode_as(question, evaluate_jsonnet(question), QuestionRow)
+    for key, accepted, expected in (
+        ("boxes", request.boxes, "at least one box"),
+        ("moves", request.moves >= 0, "0 or more"),
+        ("copies", request.copies >= 1, "1 or more"),
+        ("stress", request.stress > 1, "over 1"),
+        ("uplinks", all(r.isdigit() for r in request.uplinks), "numbers of racks"),
+        ("demand", all(kb >= 0 for kb in request.demand.values()), "0 or more each"),
     ):
-        if not good:
+        if not accepted:
             raise SiteError(question, key, f"{expected} expected")
     version, titles = await client.get()
     held = {t.name: {b for b, s in t.holders if s == "holding"} for t in titles.values()}
     try:
-        with no_banner():
+        with stdout_silenced():
             found = plan(
                 PlanRequest(
-                    tuple(BoxCapacity(b.id, b.link_kb, b.rack, b.room) for b in asked.boxes),
-                    {int(r): kb for r, kb in asked.uplinks.items()},
-                    asked.demand,
-                    asked.value,
-                    asked.moves,
-                    asked.copies,
-                    asked.stress,
+                    tuple(BoxCapacity(b.id, b.link_kb, b.rack, b.room) for b in request.boxes),
+                    {int(r): kb for r, kb in request.uplinks.items()},
+                    request.demand,
+                    request.value,
+                    request.moves,
+                    request.copies,
+                    request.stress,
                 ),
                 held,
                 seconds,
@@ -338,8 +342,8 @@
 
     reply = await client.call("Who", pb.WhoRequest())
     click.echo(f"version {reply.version}, epoch {reply.epoch}")
-    for w in reply.watchers:
-        at = w.acked if w.HasField("acked") else "-"
-        state = "connected" if w.connected else f"away, last heard {w.heard_ms_ago / 1000:.1f} s ago"
-        refused = f"; refused {w.refused}: {w.why}" if w.HasField("refused") else ""
-        click.echo(f"  {w.name} ({w.role}): version {at}, {state}{refused}")
+    for watcher in reply.watchers:
+        at = watcher.acked if watcher.HasField("acked") else "-"
+        state = "connected" if watcher.connected else f"away, last message {watcher.heard_ms_ago / 1000:.1f} s ago"
+        refused = f"; refused {watcher.refused}: {watcher.why}" if watcher.HasField("refused") else ""
+        click.echo(f"  {watcher.name} ({watcher.role}): version {at}, {state}{refused}")
--- a/flaxscale/cli/solve.py
+++ b/flaxscale/cli/solve.py
@@ -1,6 +1,6 @@
-"""flaxscale solve: one question of the planner, from standard input to standard output.
+"""flaxscale solve: one run of the planner, from standard input to standard output.
 
-For a manager that has others to answer meanwhile: numpy, the solver and the making of its model would hold its loop.
+Managers run it as a child process: importing numpy, building the model and solving would block their event loop.
 """
 
 import sys
@@ -12,13 +12,17 @@
 from . import BAD
 
 
-class Asked(NamedTuple):
+class SolveRequest(NamedTuple):
+    """The input, a JSON array."""
+
     question: dict  # catalogue.plan.PlanRequest's fields
     held: dict[str, list[int]]  # title: boxes that hold it now
-    seconds: float  # for the solver, at most
+    seconds: float  # time limit of the solver
+
 
+class SolveResult(NamedTuple):
+    """The output, a JSON array."""
 
-class Told(NamedTuple):
     add: list[tuple[str, int]]
     drop: list[tuple[str, int]]
     before: float  # share of the demand's value that can be carried, now and then
@@ -27,18 +31,22 @@
 
 @click.command(hidden=True)
 def solve():
-    """Read an Asked as JSON, write a Told."""
+    """Read a SolveRequest as JSON and write a SolveResult."""
     from ..catalogue.plan import BoxCapacity, PlanRequest, plan
 
     try:
-        asked = msgspec.json.decode(sys.stdin.buffer.read(), type=Asked)
+        request = msgspec.json.decode(sys.stdin.buffer.read(), type=SolveRequest)
         fields = {
-            **asked.question,
-            "boxes": tuple(BoxCapacity(*row) for row in asked.question["boxes"]),
-            "uplinks": {int(rack): kb for rack, kb in asked.question["uplinks"].items()},
+            **request.question,
+            "boxes": tuple(BoxCapacity(*row) for row in request.question["boxes"]),
+            "uplinks": {int(rack): kb for rack, kb in request.question["uplinks"].items()},
         }
-        made = plan(PlanRequest(**fields), {title: set(boxes) for title, boxes in asked.held.items()}, asked.seconds)
+        result = plan(
+            PlanRequest(**fields), {title: set(boxes) for title, boxes in request.held.items()}, request.seconds
+        )
     except (msgspec.MsgspecError, ValueError, KeyError, TypeError) as error:
         click.echo(f"flaxscale: the question: {error}", err=True)
         sys.exit(BAD)
-    sys.stdout.buffer.write(b"\n" + msgspec.json.encode(Told(made.add, made.drop, made.before, made.after)) + b"\n")
+    sys.stdout.buffer.write(
+        b"\n" + msgspec.json.encode(SolveResult(result.add, result.drop, result.before, result.after)) + b"\n"
+    )
--- a/flaxscale/site/__init__.py
+++ b/flaxscale/site/__init__.py
@@ -1,1 +1,1 @@
-"""What operators state: files in Jsonnet, checked, and turned into the module's terms. The one place for terms."""
+"""The operators' settings: Jsonnet files that are checked and converted to the decision module's terms."""
--- a/flaxscale/site/settings.py
+++ b/flaxscale/site/settings.py
@@ -1,4 +1,4 @@
-"""The settings that the operators hand an instance, in our words: on the simulator's wire and on sockets alike."""
+"""Conversion of an instance's JSON settings, from the simulator or a file, to the decision module's terms."""
 
 import math
 import struct
@@ -16,24 +16,25 @@
     "step": NOTE_KINDS_BY_NUMBER[2],
     "asked": NOTE_KINDS_BY_NUMBER[3],
     "rack": NOTE_KINDS_BY_NUMBER[4],
-}  # the same on sockets
+}  # names on sockets
 LOAD_NAMES = {"x0": "link", "x1": "uplink", "busy_reqs": "streams"}
-PEER_MESSAGE = struct.Struct("<If")  # a server and kB a second
+PEER_MESSAGE = struct.Struct("<If")  # server, kB a second
 
 
 def to_tenths(ms):
+    """Milliseconds as whole tenths of a millisecond."""
     return round(ms * 10)
 
 
 def span_tenths(ms):
-    """A span that bounds us: cut down to whole tenths, so that it is never overrun."""
+    """A time limit in tenths of a millisecond, rounded down so that it is never exceeded."""
     return math.floor(ms * 10 + 1e-6)
 
 
-def site_terms(top, seed):
-    """The settings in our words; a missing key is a KeyError that names it."""
-    stream, rules, caps, prices = top["specifics"], top["obligations"], top["caps"], top["penalties"]
-    goal = top["objectiveMix"]
+def site_terms(params, seed):
+    """The SiteTerms for these settings. KeyError with the key's name if one is missing."""
+    stream, rules, caps, prices = params["specifics"], params["obligations"], params["caps"], params["penalties"]
+    goal = params["objectiveMix"]
     packages = tuple(
         interface.Package(
             join_target=span_tenths(row["goalTimeMs"]),
@@ -47,13 +48,13 @@
             seats=stream["licenceCap"][i],
             live=bool(stream["live"][i]),
         )
-        for i, row in enumerate(top["classes"])
+        for i, row in enumerate(params["classes"])
     )
-    rationed = "resendSpanMs" in rules
+    limits_further = "resendSpanMs" in rules
     return interface.SiteTerms(
-        manager_number=top["me"],
-        manager_count=top["peersTotal"],
-        zone=top["myZone"],
+        manager_number=params["me"],
+        manager_count=params["peersTotal"],
+        zone=params["myZone"],
         seed=seed,
         packages=packages,
         ladder=interface.Ladder(
@@ -72,11 +73,11 @@
             stream["guard"],
             to_tenths(stream["seenAfterMs"]),
             to_tenths(stream["tellMs"]),
-            tuple(LOAD_NAMES.get(name, name) for name in top["loadInfo"]["names"])
-            if top["loadInfo"]["how"] != "off"
+            tuple(LOAD_NAMES.get(name, name) for name in params["loadInfo"]["names"])
+            if params["loadInfo"]["how"] != "off"
             else (),
-            top["loadInfo"]["how"] == "on_probe",
-            top["weightSource"] != "off",
+            params["loadInfo"]["how"] == "on_probe",
+            params["weightSource"] != "off",
         ),
         rules=interface.RuleTerms(
             span_tenths(rules["drainGraceMs"]),
@@ -85,9 +86,9 @@
             rules["tipMultiple"],
             to_tenths(rules["fallMs"]),
             span_tenths(rules["mustAskInMs"]),
-            rules.get("freeResends", 0) if rationed else None,
-            rules.get("furtherRatio", 0) if rationed else None,
-            to_tenths(rules["resendSpanMs"]) if rationed else None,
+            rules.get("freeResends", 0) if limits_further else None,
+            rules.get("furtherRatio", 0) if limits_further else None,
+            to_tenths(rules["resendSpanMs"]) if limits_further else None,
         ),
         allowed=interface.Allowed(
             caps["tryLimit"],
--- a/flaxscale/site/terms.py
+++ b/flaxscale/site/terms.py
@@ -1,4 +1,4 @@
-"""A checked site file as the module's terms."""
+"""Conversion of a checked site file to the decision module's terms."""
 
 import math
 
@@ -8,21 +8,23 @@
 
 
 def span_tenths(ms):
-    """Bounds on us are cut down to whole tenths of a millisecond, so that they are never overrun."""
+    """A time limit in tenths of a millisecond, rounded down so that it is never exceeded."""
     return math.floor(ms * 10 + 1e-6)
 
 
-def read_site(file, **given):
-    """The Site of a file; SiteError names the first fault's key and counts the others."""
-    return checked(file, decode_as(file, evaluate_jsonnet(file, **given), Site))
+def read_site(file, **variables):
+    """The Site of a file. SiteError has the first fault's key and the number of others."""
+    return checked(file, decode_as(file, evaluate_jsonnet(file, **variables), Site))
 
 
 def checked(file, site, under=""):
+    """The site, if it has no faults. under: prefix of the keys in the error."""
     raise_first_fault(file, faults(site), under)
     return site
 
 
 def numbers(names):
+    """{name: position}."""
     return {name: n for n, name in enumerate(names)}
 
 
@@ -39,7 +41,7 @@
         self.stream_limits = {
             **(before.stream_limits if before else {}),
             **site.fleet.kinds,
-        }  # streams at most, by kind
+        }  # maximum of streams by kind
         self.packages = {name: n for name, n in numbers(self.package_rows).items() if name in site.packages}
         self.kinds = numbers(self.stream_limits)
         self.zones = numbers({**(before.zones if before else {}), **numbers(site.zones)})
@@ -54,15 +56,16 @@
             )
             if figure
         }
-        self.load_names = tuple(self.load_figures.values())  # in a probe's answer, in the order of the terms
+        self.load_names = tuple(self.load_figures.values())  # as in a probe's answer, in the order of the terms
         self.note_kinds = {
             self.load_figures[name]: kind
             for name, kind in (("link", interface.NoteKind.LINK), ("uplink", interface.NoteKind.UPLINK))
             if name in self.load_figures and fleet.reports == "answers"
-        }  # that a set-up's answer brings
+        }  # figures that a set-up's answer has
         self.terms = self.build_terms()
 
     def build_terms(self):
+        """The SiteTerms for the decision module."""
         site, rungs = self.site, len(self.site.ladder.kb)
         rules, fleet, allowed = site.rules, site.fleet, site.allowed
         further = rules.further
@@ -133,7 +136,7 @@
         )
 
     def patience(self, package, wait):
-        """Viewer patience in tenths: the client's own word, up to a bound, else the package's."""
+        """Patience in tenths of ms: the client's `wait` seconds up to a limit, or the package's default."""
         row = list(self.package_rows.values())[package]
         if wait is None:
             return span_tenths(row.patience_ms)
