--- a/tests/test_catalogue.py
+++ b/tests/test_catalogue.py
@@ -1,4 +1,4 @@
-"""The catalogue without sockets: change sets, durability at every byte, and any delivery ending in one state."""
+"""The catalogue without sockets: change sets, durability after a crash at any byte, and replication in any order."""
 
 import pathlib
 import tempfile
@@ -68,7 +68,7 @@
                     Hold("b", 9, "gone"),
                 ]
             )
-        said = [str(f) for f in caught.exception.faults]
+        messages = [str(f) for f in caught.exception.faults]
         for n, detail in (
             (1, "the package 'none' is none of clip, live"),
             (2, "'odd' is no state"),
@@ -83,10 +83,12 @@
             (10, "a name of 1 to 200"),
             (11, "box 9 is no holder"),
         ):
-            self.assertTrue(any(s.startswith(f"operation {n},") and detail in s for s in said), (n, detail, said))
+            self.assertTrue(
+                any(s.startswith(f"operation {n},") and detail in s for s in messages), (n, detail, messages)
+            )
         self.assertEqual((1, before), (c.version, c.titles))
 
-    def test_the_last_holder_may_leave_only_with_another_coming(self):
+    def test_the_last_holder_may_leave_only_with_another_preparing(self):
         c = catalogue(put(boxes=(1,)))
         with self.assertRaises(Refused):
             c.apply([Hold("a", 1, LEAVING)])
@@ -106,7 +108,7 @@
         c.apply([Seats("b", "live", None)])
         self.assertEqual((), c.titles["b"].seats)
 
-    def test_undo_takes_back_and_a_put_is_the_whole(self):
+    def test_undo_restores_titles_and_a_put_replaces_them(self):
         c = catalogue()
         old = dict(c.titles)
         c.apply([Drop("a"), put("n"), Hold("b", 7, HOLDING), Rungs("b", 1, 3)])
@@ -153,11 +155,11 @@
 
 
 def ops_of(n):
-    """The n-th change of a run that is always possible."""
+    """The n-th change set of a sequence in which each is valid."""
     return [put(f"t{n % 5}", boxes=(n % 7 + 1, n % 3 + 8)), put(f"u{n}", "live")]
 
 
-class Durable(unittest.TestCase):
+class Durability(unittest.TestCase):
     def run_changes(self, files, acked):
         keeper = DurableCatalogue(files, FRAME)
         for n in range(keeper.current.version, 6):
@@ -182,9 +184,9 @@
             for disk in files.survivors():
                 found = DurableCatalogue(FaultyFiles(disk), FRAME).current
                 self.assertGreaterEqual(found.version, acked[-1][0] if acked else 0)
-                self.assertEqual(wanted[found.version], found.titles)  # whole versions, or none of one
+                self.assertEqual(wanted[found.version], found.titles)  # complete versions only
 
-    def test_after_a_fault_of_the_disk_it_goes_on_with_all_that_was_acknowledged(self):
+    def test_after_a_disk_fault_all_acknowledged_changes_are_kept(self):
         for fault in ("room", "failing_sync"):
             files = FaultyFiles()
             keeper = DurableCatalogue(files, FRAME)
@@ -203,15 +205,15 @@
             for disk in files.survivors():
                 again = DurableCatalogue(FaultyFiles(disk), FRAME)
                 self.assertEqual((3, keeper.current.titles), (again.current.version, again.current.titles))
-                # Whoever was told that it is not known asks again under the same id: it is made once.
+                # The client with the unknown outcome repeats its change under the same id: it is not made twice.
                 self.assertEqual({"first", "unknown", "after"}, set(again.changes_by_id))
 
-    def test_history_rollback_and_what_is_too_long_ago(self):
+    def test_history_rollback_and_versions_no_longer_stored(self):
         keeper = DurableCatalogue(FaultyFiles(), FRAME)
         for n in range(5):
             keeper.stage(ops_of(n), who="o", why=f"w{n}")
         self.assertIsNone(keeper.deltas_since(9))
-        self.assertEqual([], keeper.deltas_since(0))  # nothing is settled yet, so nothing may be told
+        self.assertEqual([], keeper.deltas_since(0))  # nothing is committed yet, so nothing may be published
         keeper.commit()
         self.assertEqual([1, 2, 3, 4, 5], [d.version for d in keeper.deltas_since(0)])
         three = keeper.titles_at(3)
@@ -245,14 +247,14 @@
             decode_delta(b"rubbish")
 
 
-class Spread(unittest.TestCase):
+class Replication(unittest.TestCase):
     def pump(self, watcher, follower, keeper, epoch="e"):
         while (message := watcher.next_message(keeper)) is not None:
             (follower.apply_part if isinstance(message, SnapshotPart) else follower.apply_delta)(epoch, message)
             if not isinstance(message, SnapshotPart) or message.last:
                 watcher.ack(follower.version)
 
-    def test_a_watcher_away_for_ten_thousand_versions(self):
+    def test_a_watcher_that_missed_ten_thousand_versions(self):
         keeper = DurableCatalogue(FaultyFiles(), FRAME)
         watcher, follower = Watcher("m", "manager", None, None, "e"), Follower()
         keeper.stage(ops_of(0))
@@ -264,14 +266,14 @@
                 keeper.commit()
         self.pump(watcher, follower, keeper)
         self.assertEqual((10_001, keeper.current.titles), (follower.version, follower.titles))
-        keeper.history.clear()  # what it was away for is known no more: the whole
+        keeper.history.clear()  # the deltas that it missed are gone: it gets a snapshot
         keeper.stage([put("last")])
         keeper.commit()
         late, other = Watcher("n", "manager", "e", 5, "e"), Follower()
         self.pump(late, other, keeper)
         self.assertEqual(keeper.current.titles, other.titles)
 
-    def test_a_refused_version_leaves_the_last_good_one_and_a_later_one_mends_it(self):
+    def test_a_refused_version_leaves_the_last_good_one_until_a_later_one_is_applied(self):
         def check(titles):
             if any(t and t.name == "odd" for t in titles.values()):
                 raise ValueError("I know no such title")
@@ -290,13 +292,13 @@
             self.pump(watcher, follower, keeper)
         watcher.nack(2, "I know no such title")
         self.assertEqual((1, {"good"}), (follower.version, set(follower.titles)))
-        self.assertIsNone(watcher.next_message(keeper))  # not again until something else comes
+        self.assertIsNone(watcher.next_message(keeper))  # nothing more before another version
         keeper.stage([Drop("odd"), put("more")])
         keeper.commit()
         self.pump(watcher, follower, keeper)
         self.assertEqual((3, {"good", "more"}), (follower.version, set(follower.titles)))
 
-    def test_a_watcher_that_does_not_acknowledge_gets_no_more_than_it_can_hold(self):
+    def test_unacknowledged_messages_to_a_watcher_are_limited(self):
         keeper, watcher = DurableCatalogue(FaultyFiles(), FRAME), Watcher("m", "m", "e", 0, "e")
         for n in range(500):
             keeper.stage([put(f"t{n}")])
@@ -313,7 +315,7 @@
             st.tuples(st.sampled_from(["delta", "whole", "cut whole", "other epoch"]), st.integers(0, 20)), max_size=30
         ),
     )
-    def test_any_order_of_deltas_drops_and_wholes_ends_in_the_same_state(self, changes, deliveries):
+    def test_any_order_of_deltas_drops_and_snapshots_ends_in_the_same_state(self, changes, deliveries):
         c, states, deltas = Catalogue(FRAME), [{}], []
         for n, kind in enumerate(changes):
             ops = [Drop(next(iter(c.titles)))] if kind == 0 and c.titles else [put(f"t{kind}", boxes=(n + 1, 90))]
--- a/tests/test_catalogue_programs.py
+++ b/tests/test_catalogue_programs.py
@@ -1,4 +1,4 @@
-"""The operators' commands against a service of its own process, killed and started again."""
+"""The operators' commands against a service process that is killed and restarted."""
 
 import json
 import pathlib
@@ -42,7 +42,7 @@
         )
         self.ready = json.loads(self.child.stdout.readline())
 
-    def say(self, *args, status=0):
+    def run_command(self, *args, status=0):
         done = subprocess.run(
             [sys.executable, "-m", "flaxscale", "catalogue", *args, "--at", "127.0.0.1:%d" % self.ready["port"]],
             cwd=ROOT,
@@ -53,16 +53,16 @@
         self.assertEqual(status, done.returncode, done.stdout + done.stderr)
         return done.stdout + done.stderr
 
-    def test_a_day_of_an_operator(self):
-        self.assertIn("changed 18 titles; version 1", self.say("put", "examples/catalogue.jsonnet"))
-        self.assertIn("nothing differs", self.say("put", "examples/catalogue.jsonnet"))
-        self.assertIn("would change 3 titles", self.say("edit", "examples/change.jsonnet", "--dry"))
-        self.say("edit", "examples/change.jsonnet", "--expect", "1", "--why", "more room for clip-1")
+    def test_put_edit_diff_plan_and_rollback(self):
+        self.assertIn("changed 18 titles; version 1", self.run_command("put", "examples/catalogue.jsonnet"))
+        self.assertIn("nothing differs", self.run_command("put", "examples/catalogue.jsonnet"))
+        self.assertIn("would change 3 titles", self.run_command("edit", "examples/change.jsonnet", "--dry"))
+        self.run_command("edit", "examples/change.jsonnet", "--expect", "1", "--why", "more room for clip-1")
         self.assertIn(
             "made for version 1, the catalogue is at 2",
-            self.say("edit", "examples/change.jsonnet", "--expect", "1", status=4),
+            self.run_command("edit", "examples/change.jsonnet", "--expect", "1", status=4),
         )
-        diff = self.say("diff", "1")
+        diff = self.run_command("diff", "1")
         for line in (
             "clip-1: box 6 gone -> holding",
             "clip-1: box 2 holding -> leaving",
@@ -70,41 +70,41 @@
             "lock-cam: seats (('dock-live', 8),) -> (('dock-live', 10),)",
         ):
             self.assertIn(line, diff)
-        self.assertIn("more room for clip-1", self.say("log"))
-        self.assertIn("box 6: holding", self.say("holders", "clip-1"))
-        self.assertIn("no title 'nothing'", self.say("holders", "nothing", status=2))
+        self.assertIn("more room for clip-1", self.run_command("log"))
+        self.assertIn("box 6: holding", self.run_command("holders", "clip-1"))
+        self.assertIn("no title 'nothing'", self.run_command("holders", "nothing", status=2))
         out = self.folder.name + "/plan.json"
-        self.assertRegex(self.say("plan", "examples/demand.jsonnet", "--out", out), r"clip-1 on box")
-        self.say("edit", out)
+        self.assertRegex(self.run_command("plan", "examples/demand.jsonnet", "--out", out), r"clip-1 on box")
+        self.run_command("edit", out)
         self.child.kill()
         self.child.wait()
         self.child.stdout.close()
         self.serve()
         self.assertEqual(3, self.ready["version"])
-        self.assertIn("version 4", self.say("rollback", "1"))
-        self.assertIn("version 4", self.say("who"))
-        self.assertEqual("", self.say("diff", "1", "4"))
+        self.assertIn("version 4", self.run_command("rollback", "1"))
+        self.assertIn("version 4", self.run_command("who"))
+        self.assertEqual("", self.run_command("diff", "1", "4"))
 
-    def test_what_is_refused_is_named(self):
+    def test_refusals_are_named(self):
         file = pathlib.Path(self.folder.name) / "x.jsonnet"
-        for text, status, said in (
+        for text, status, message in (
             ("{ titles: { a: { view: 'none', holders: [1] } } }", 4, "the package 'none'"),
             ("{ titles: { a: { view: 3, holders: [1] } } }", 2, "titles.*.view"),
             ("{ titel: 1 }", 2, "unknown field `titel`"),
             ("{ titles: {} }", 0, "nothing differs"),
         ):
             file.write_text(text)
-            self.assertIn(said, self.say("put", str(file), status=status))
-        self.assertIn("can't be read", self.say("edit", "none.jsonnet", status=2))
+            self.assertIn(message, self.run_command("put", str(file), status=status))
+        self.assertIn("can't be read", self.run_command("edit", "none.jsonnet", status=2))
         file.write_text("[{ type: 'drop', name: 'none' }]")
-        self.assertIn("operation 0, title 'none': no such title", self.say("edit", str(file), status=4))
+        self.assertIn("operation 0, title 'none': no such title", self.run_command("edit", str(file), status=4))
         file.write_text("{ boxes: [], demand: {}, moves: 1 }")
-        self.assertIn("boxes: at least one box expected", self.say("plan", str(file), status=2))
-        self.assertIn("version 9 is not known", self.say("diff", "9", status=2))
+        self.assertIn("boxes: at least one box expected", self.run_command("plan", str(file), status=2))
+        self.assertIn("version 9 is not known", self.run_command("diff", "9", status=2))
 
-    def test_a_store_that_is_damaged_is_not_served_from(self):
-        self.say("put", "examples/catalogue.jsonnet")
-        self.say("edit", "examples/change.jsonnet")
+    def test_a_damaged_store_is_not_served(self):
+        self.run_command("put", "examples/catalogue.jsonnet")
+        self.run_command("edit", "examples/change.jsonnet")
         self.child.kill()
         self.child.wait()
         log = next(pathlib.Path(self.folder.name, "store").glob("log-*"))
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -1,4 +1,4 @@
-"""The live catalogue on sockets: changes while set-ups are under way, services and streams that fail, refusals."""
+"""The live catalogue on sockets: changes during set-ups, failing services and streams, refusals."""
 
 import asyncio
 
@@ -21,12 +21,12 @@
     ]
 
     async def taken(self, version, log=0):
-        """Until this manager and all boxes have taken a version."""
+        """Waits until this manager and all boxes have applied a version."""
         await self.log[log].seen("catalogue", version=version)
         for rows in self.box_rows.values():
             await rows.seen("holds", version=version)
 
-    def landed(self, title):
+    def setups_by_box(self, title):
         return {box: len([r for r in self.setups(box) if r["title"] == title]) for box in self.boxes}
 
     async def test_a_change_takes_effect_without_a_restart(self):
@@ -34,18 +34,18 @@
         reply = await self.change(Put("new", "clip", holders=held(2)))
         await self.taken(reply.version)
         self.assertEqual("plays", (await self.ask("new")).fate)
-        self.assertEqual({1: 0, 2: 1, 3: 0}, self.landed("new"))
+        self.assertEqual({1: 0, 2: 1, 3: 0}, self.setups_by_box("new"))
         reply = await self.change(Hold("new", 2, LEAVING), Hold("new", 3, HOLDING))
         await self.taken(reply.version)
         self.assertEqual("plays", (await self.ask("new")).fate)
-        self.assertEqual({1: 0, 2: 1, 3: 1}, self.landed("new"))
-        self.assertEqual(1, len(self.boxes[2].box.sessions))  # what plays there plays on
+        self.assertEqual({1: 0, 2: 1, 3: 1}, self.setups_by_box("new"))
+        self.assertEqual(1, len(self.boxes[2].box.sessions))  # the running viewing there goes on
         reply = await self.change(Drop("new"))
         await self.taken(reply.version)
         self.assertEqual(404, (await self.ask("new")).status)
 
-    async def test_a_box_ahead_of_its_manager_refuses_what_it_lacks_and_another_plays(self):
-        self.fronts[0].watch.task.cancel()  # this manager hears nothing more
+    async def test_a_box_ahead_of_its_manager_refuses_a_missing_title_and_another_plays_it(self):
+        self.fronts[0].watch.task.cancel()  # this manager gets no more updates
         reply = await self.change(Hold("pair", 1, "gone"))
         for rows in self.box_rows.values():
             await rows.seen("holds", version=reply.version)
@@ -53,19 +53,19 @@
         self.assertEqual({"plays"}, {s.fate for s in seen})
         refused = [r for r in self.box_rows[1].all("answer") if r["status"] == 404]
         self.assertTrue(refused and not any(r["ran"] for r in refused))
-        self.assertEqual((0, 1), (len(self.boxes[1].box.sessions), len(refused)))  # asked once, then left alone
+        self.assertEqual((0, 1), (len(self.boxes[1].box.sessions), len(refused)))  # only one attempt there
         self.assertEqual({"lacking"}, {r["how"] for r in self.log[0].all("tune-in failed")})
 
     async def test_a_change_in_the_middle_of_a_set_up(self):
         self.boxes[1].box.work = 2000
         asked = asyncio.ensure_future(self.ask("sole"))
-        await self.box_rows[1].seen("setup")  # it is out: the change lets it stand
+        await self.box_rows[1].seen("setup")  # the set-up has been sent; the change does not affect it
         reply = await self.change(Hold("sole", 2, HOLDING), Hold("sole", 1, LEAVING))
         await self.taken(reply.version)
         self.assertEqual("plays", (await asked).fate)
-        self.assertEqual({1: 1, 2: 0, 3: 0}, self.landed("sole"))
+        self.assertEqual({1: 1, 2: 0, 3: 0}, self.setups_by_box("sole"))
         self.assertEqual("plays", (await self.ask("sole")).fate)
-        self.assertEqual({1: 1, 2: 1, 3: 0}, self.landed("sole"))
+        self.assertEqual({1: 1, 2: 1, 3: 0}, self.setups_by_box("sole"))
 
     async def test_a_rendition_withdrawn_while_played(self):
         await self.ask("one", length=60)
@@ -79,11 +79,11 @@
         self.assertEqual("plays", (await self.ask("one")).fate)
         self.assertEqual({0}, {s.rung for b in self.boxes.values() for s in b.box.sessions.values()})
 
-    async def test_seats_under_those_in_use_need_force_and_hold_from_then_on(self):
+    async def test_seats_below_those_in_use_need_force_and_apply_from_then_on(self):
         seen = [await self.ask("cam") for _ in range(3)]
         self.assertEqual({"plays"}, {s.fate for s in seen})
         reply = await self.change(Put("touch", "clip", holders=held(1)))
-        await self.taken(reply.version)  # its acknowledgement tells the seats in use
+        await self.taken(reply.version)  # its acknowledgement has the seats in use
         while not self.service.in_use():
             await asyncio.sleep(0)
         reply = await self.change(Seats("cam", "live", 2))
@@ -93,16 +93,16 @@
         await self.taken(reply.version)
         self.assertEqual("blocked", (await self.ask("cam")).fate)
         await self.player.end(self.fronts[0].address, seen[0].location)
-        self.assertEqual("blocked", (await self.ask("cam")).fate)  # two of two are in use
+        self.assertEqual("blocked", (await self.ask("cam")).fate)  # both seats are in use
         await self.player.end(self.fronts[0].address, seen[1].location)
         self.assertEqual("plays", (await self.ask("cam")).fate)
 
-    async def test_the_service_dies_and_comes_back(self):
+    async def test_the_service_stops_and_restarts(self):
         port = int(self.catalogue.rpartition(":")[2])
         version = self.service.catalogue.committed_version
         await self.service.stop()
         await self.log[0].seen("catalogue not followed")
-        self.assertEqual("plays", (await self.ask("one")).fate)  # the last good one serves on
+        self.assertEqual("plays", (await self.ask("one")).fate)  # served from the last good version
         self.assertGreaterEqual(self.fronts[0].catalogue_state()["heard_s_ago"], 0)
         await self.start_service(port)
         self.assertEqual(version, self.service.catalogue.committed_version)
@@ -125,8 +125,8 @@
         self.assertIsNotNone(state["heard_s_ago"])
         self.assertEqual("plays", (await self.ask("kept")).fate)
 
-    async def test_a_manager_that_refuses_a_version_serves_on_and_who_tells(self):
-        self.fronts[0].sense.packages.pop("push")  # this manager's terms know no such package
+    async def test_a_manager_that_refuses_a_version_goes_on_and_who_shows_it(self):
+        self.fronts[0].sense.packages.pop("push")  # this manager's terms lack the package
         version = self.service.catalogue.committed_version
         await self.change(Put("odd", None, "push", holders=held(1)))
         await self.log[0].seen("catalogue refused")
@@ -161,7 +161,7 @@
         bad = await self.change(Put("z", "none", holders=held(1)), Drop("w"))
         self.assertEqual(2, len(bad.faults))
 
-    async def test_a_store_that_fails_acknowledges_nothing_and_takes_nothing_more(self):
+    async def test_a_failed_store_acknowledges_and_accepts_nothing(self):
         def fail(name):
             raise OSError(28, "no space left on device")
 
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -1,4 +1,4 @@
-"""The planner: budgets and spread hold, a plan is never worse than what is, and what can't be is said."""
+"""The planner: limits are kept, a plan is never worse than the present copies, and impossible requests are named."""
 
 import random
 import unittest
@@ -7,18 +7,18 @@
 
 
 def question(boxes=6, titles=8, moves=4, room=12, load=0.8, seed=1, **more):
-    dice = random.Random(seed)
-    shelves = tuple(BoxCapacity(n + 1, 1000.0 + 100 * (n % 3), n % 2, room) for n in range(boxes))
-    links = sum(b.link_kb for b in shelves)
+    rng = random.Random(seed)
+    box_rows = tuple(BoxCapacity(n + 1, 1000.0 + 100 * (n % 3), n % 2, room) for n in range(boxes))
+    links = sum(b.link_kb for b in box_rows)
     demand = {f"t{n}": 1.0 / (n + 1) for n in range(titles)}
     demand = {t: load * links * d / sum(demand.values()) for t, d in demand.items()}
-    held = {t: set(dice.sample([b.id for b in shelves], 3)) for t in demand}
-    uplinks = {rack: 0.9 * sum(b.link_kb for b in shelves if b.rack == rack) for rack in (0, 1)}
-    return PlanRequest(shelves, uplinks, demand, {}, moves, **more), held
+    held = {t: set(rng.sample([b.id for b in box_rows], 3)) for t in demand}
+    uplinks = {rack: 0.9 * sum(b.link_kb for b in box_rows if b.rack == rack) for rack in (0, 1)}
+    return PlanRequest(box_rows, uplinks, demand, {}, moves, **more), held
 
 
 class Plans(unittest.TestCase):
-    def test_budget_copies_racks_and_room_hold_and_it_is_never_worse(self):
+    def test_all_limits_are_kept_and_a_plan_is_never_worse(self):
         for seed in range(6):
             q, held = question(seed=seed, moves=seed, load=0.7 + 0.05 * seed)
             held = {t: {1, 2, 3} if 2 in boxes else boxes | {1, 2} for t, boxes in held.items()}
@@ -32,16 +32,16 @@
             self.assertGreaterEqual(found.after + 1e-6, found.before)
             self.assertAlmostEqual(found.after, carried_value(q, after)[0], 4)
 
-    def test_the_crowded_title_gets_the_copies(self):
+    def test_the_title_with_most_demand_gets_the_copies(self):
         q, held = question(moves=5, load=0.5)
         q = q._replace(demand={**dict.fromkeys(q.demand, 10.0), "t3": 3800.0}, copies=2)
         held["t3"] = {1, 2}
         found = plan(q, held)
-        self.assertIn("t3", [t for t, _ in found.add])  # the other move may mend a title in one rack
+        self.assertIn("t3", [t for t, _ in found.add])  # the other move may serve a title that is in one rack only
         self.assertLess(found.before, 0.6)
         self.assertGreater(found.after, 0.9)
 
-    def test_what_cannot_be_is_said(self):
+    def test_impossible_requests_are_named(self):
         q, held = question(room=2)
         with self.assertRaisesRegex(ValueError, "no plan fits"):
             plan(q, held)
@@ -52,7 +52,7 @@
         with self.assertRaisesRegex(ValueError, "no title with demand"):
             plan(q._replace(demand={}), held)
 
-    def test_the_baseline_keeps_to_room_and_spread(self):
+    def test_the_baseline_respects_room_and_racks(self):
         q, held = question(room=8, copies=2)
         found = proportional_copies(q, held)
         self.assertTrue(all(sum(n in b for b in found.values()) <= 8 for n in range(1, 7)))
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -1,4 +1,4 @@
-"""Site and day files: every fault is told with file, key and what was expected there."""
+"""Site and day files: an error has the file, the key and what was expected."""
 
 import pathlib
 import tempfile
@@ -13,8 +13,8 @@
 
 
 class Files(unittest.TestCase):
-    def told(self, text, read=read_site):
-        """What is said of a file with this text, which may import the examples."""
+    def error_of(self, text, read=read_site):
+        """The error for a file with this text, which may import the examples."""
         with tempfile.TemporaryDirectory() as folder:
             file = pathlib.Path(folder) / "site.jsonnet"
             file.write_text(text)
@@ -25,7 +25,7 @@
 
     def test_each_fault_is_named(self):
         boats = f"(import '{EXAMPLES / 'boats.jsonnet'}')"
-        for change, said in (
+        for change, message in (
             ("{ packages+: { 'dock-live'+: { value: 'three' } } }", "packages.*.value: Expected `float`, got `str`"),
             (
                 "{ packages+: { 'dock-live'+: { patience_ms: 10 } } }",
@@ -43,17 +43,17 @@
             ("{ spare: 1 }", "the file's own object: Object contains unknown field `spare`"),
             ("{ name:: 'hidden' }", "the file's own object: Object missing required field `name`"),
         ):
-            self.assertIn(said, self.told(f"{boats} + {change}"))
-        two = self.told(f"{boats} + {{ ladder+: {{ worth: [1] }}, fleet+: {{ racks: 9 }} }}")
+            self.assertIn(message, self.error_of(f"{boats} + {change}"))
+        two = self.error_of(f"{boats} + {{ ladder+: {{ worth: [1] }}, fleet+: {{ racks: 9 }} }}")
         self.assertIn("(and 1 more)", two)
-        self.assertIn("not Jsonnet that can be evaluated", self.told("{ a: "))
-        self.assertIn("max stack frames", self.told("local f(x) = f(x + 1) + 1; f(0)"))
+        self.assertIn("not Jsonnet that can be evaluated", self.error_of("{ a: "))
+        self.assertIn("max stack frames", self.error_of("local f(x) = f(x + 1) + 1; f(0)"))
         with self.assertRaisesRegex(SiteError, "none.jsonnet: can't be read"):
             read_site("none.jsonnet")
 
     def test_days(self):
         day = f"(import '{EXAMPLES / 'bad-day.jsonnet'}')"
-        for change, said in (
+        for change, message in (
             ("{ troubles+: [{ at_s: 1, what: 'meteor' }] }", "troubles.14.what: one of answer_lost"),
             ("{ troubles+: [{ at_s: 99, what: 'hang' }] }", "troubles.14.at_s: within the day, 0 to 24"),
             ("{ troubles+: [{ at_s: 9, what: 'hang', boxes: [12] }] }", "troubles.14.boxes: numbers of boxes, 0 to 11"),
@@ -64,19 +64,19 @@
             ),
             ("{ site+: { managers: 0 } }", "site.managers: 1 to 65535"),
         ):
-            self.assertIn(said, self.told(f"{day} + {change}", read_day))
+            self.assertIn(message, self.error_of(f"{day} + {change}", read_day))
 
     def test_the_examples_become_terms(self):
         for name in ("boats", "depot-clips", "cards"):
-            sense = ManagerSite(read_site(EXAMPLES / f"{name}.jsonnet"), me=1, zone=0, seed=5)
-            terms = sense.terms
+            manager_site = ManagerSite(read_site(EXAMPLES / f"{name}.jsonnet"), me=1, zone=0, seed=5)
+            terms = manager_site.terms
             self.assertEqual((1, 5), (terms.manager_number, terms.seed))
-            self.assertEqual(len(sense.site.packages), len(terms.packages))
+            self.assertEqual(len(manager_site.site.packages), len(terms.packages))
             self.assertTrue(all(p.top < len(terms.ladder.kb) for p in terms.packages))
         boats = ManagerSite(read_site(EXAMPLES / "boats.jsonnet"))
         self.assertEqual([30_000, 20_000, 300_000], [boats.patience(0, wait) for wait in (None, 2, 999)])
 
-    def test_a_seed_gives_the_same_demand_twice_and_another_gives_other(self):
+    def test_demand_depends_on_the_seed_alone(self):
         day = read_day(EXAMPLES / "bad-day.jsonnet")
         self.assertEqual(arrivals(day, 3), arrivals(day, 3))
         self.assertNotEqual(arrivals(day, 3), arrivals(day, 4))
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -1,4 +1,4 @@
-"""Settings that change in a running manager, there and back: on sockets, with set-ups out at both moments."""
+"""Settings that are changed in a running manager and changed back, with set-ups in progress both times."""
 
 import asyncio
 import json
@@ -19,8 +19,8 @@
 class Switch(Rig):
     terms = patient(Rig.terms.replace('"front": {', '"front": {"tokens": [], "fleet_token": "ours", '))
 
-    def other(self, **changes):
-        """The rig's own settings as boxes that tell their load to probes only would have them."""
+    def probe_settings(self, **changes):
+        """The rig's settings for boxes that report load only in answers to probes."""
         row = json.loads(self.terms)
         row["managers"] = 1
         row["fleet"].update(
@@ -33,19 +33,19 @@
             row[key] = value
         return json.dumps(row)
 
-    def first(self):
+    def first_settings(self):
         return json.dumps({**json.loads(self.terms), "managers": 1})
 
-    def put(self, text):
+    def set_settings(self, text):
         self.fronts[0].reread = lambda: checked("site.json", decode_as("site.json", text, Site))
 
-    async def load(self, token="ours"):
+    async def reload(self, token="ours"):
         return await self.operate("/settings/reload", token)
 
-    async def asks(self, count):
-        """So many viewings, all of whose set-ups are out when this returns; their answers come a second later."""
+    async def start_viewings(self, count):
+        """Starts viewings and returns when all set-ups have been sent; the answers come a second later."""
         before = sum(len(self.setups(n)) for n in self.boxes)
-        for box in self.boxes.values():  # a slow machine must not answer the first before the last is out
+        for box in self.boxes.values():  # so that a slow machine does not answer the first before the last is sent
             box.box.work = 10_000
         tries = [asyncio.ensure_future(self.ask("one", length=60.0, patience=40.0)) for _ in range(count)]
         await self.until(lambda: sum(len(self.setups(n)) for n in self.boxes) >= before + count, "all are out")
@@ -54,30 +54,30 @@
             box.box.work = 20
         return tries
 
-    async def test_there_and_back_with_set_ups_out_at_both_moments(self):
+    async def test_settings_changed_and_changed_back_during_set_ups(self):
         front = self.fronts[0]
         first_mark = front.mark
-        playing = [await t for t in await self.asks(3)]
-        out = await self.asks(4)
-        self.put(self.other())
-        status, told = await self.load()
-        self.assertEqual((200, 1), (status, told["loaded"]))
-        self.assertNotEqual(first_mark, told["mark"])
+        playing = [await t for t in await self.start_viewings(3)]
+        out = await self.start_viewings(4)
+        self.set_settings(self.probe_settings())
+        status, answer = await self.reload()
+        self.assertEqual((200, 1), (status, answer["loaded"]))
+        self.assertNotEqual(first_mark, answer["mark"])
         self.assertEqual("unsafe", front.runner.manager.terms.packages[0].effect)
         seen = [await t for t in out]
-        for srv in front.runner.manager.servers.values():  # what notes told is not fresh any more
-            srv.link.reported_at = None
+        for server in front.runner.manager.servers.values():  # makes the reported loads stale
+            server.link.reported_at = None
         later = [await self.ask("one") for _ in range(2)]
         self.assertTrue([r for n in self.boxes for r in self.box_rows[n].all("probed")])
-        out = await self.asks(3)
+        out = await self.start_viewings(3)
         probes = sum(len(self.box_rows[n].all("probed")) for n in self.boxes)
-        self.put(self.first())
-        status, told = await self.load()
-        self.assertEqual((200, 2, first_mark), (status, told["loaded"], told["mark"]))
+        self.set_settings(self.first_settings())
+        status, answer = await self.reload()
+        self.assertEqual((200, 2, first_mark), (status, answer["loaded"], answer["mark"]))
         seen += [await t for t in out]
         later.append(await self.ask("one"))
         self.assertEqual({"plays"}, {s.fate for s in playing + seen + later})
-        # Nothing was sent twice, nothing that was taken in is lost, and what played plays on.
+        # No set-up was sent twice, no accepted request is lost, and running viewings go on.
         keys = [r["key"] for n in self.boxes for r in self.setups(n)]
         self.assertEqual((13, 13), (len(keys), len(set(keys))))
         self.assertEqual(13, sum(len(b.box.sessions) for b in self.boxes.values()))
@@ -85,27 +85,27 @@
         self.assertEqual((0, 0), (front.runner.faults, front.runner.overdue))
         self.assertEqual(probes, sum(len(self.box_rows[n].all("probed")) for n in self.boxes))
 
-    async def test_a_bad_file_is_refused_and_service_goes_on(self):
-        mark, out = self.fronts[0].mark, await self.asks(2)
-        for text, key, said in (
-            (self.other(goal={"whole": "much"}), "goal.whole", "Expected `float`, got `str`"),
-            (self.other(allowed={}), "allowed.probes", "true, as fleet.reports is 'probe', expected"),
-            (self.other(ladder={"kb": [1, 2], "worth": [1, 2]}), "ladder.kb", "3 rates as now"),
+    async def test_a_bad_file_is_refused_without_interruption(self):
+        mark, out = self.fronts[0].mark, await self.start_viewings(2)
+        for text, key, message in (
+            (self.probe_settings(goal={"whole": "much"}), "goal.whole", "Expected `float`, got `str`"),
+            (self.probe_settings(allowed={}), "allowed.probes", "true, as fleet.reports is 'probe', expected"),
+            (self.probe_settings(ladder={"kb": [1, 2], "worth": [1, 2]}), "ladder.kb", "3 rates as now"),
             ("{", "", "not JSON"),
         ):
-            self.put(text)
-            status, told = await self.load()
-            self.assertEqual((422, key), (status, told["key"]))
-            self.assertIn(said, told["detail"])
-        self.assertEqual(401, (await self.load("theirs"))[0])
+            self.set_settings(text)
+            status, answer = await self.reload()
+            self.assertEqual((422, key), (status, answer["key"]))
+            self.assertIn(message, answer["detail"])
+        self.assertEqual(401, (await self.reload("theirs"))[0])
         self.assertEqual((mark, {"loaded": 0, "refused": 4}), (self.fronts[0].mark, self.fronts[0].load_counts))
         self.assertEqual(4, len(self.log[0].all("settings refused")))
         self.assertEqual({"plays"}, {(await t).fate for t in out} | {(await self.ask("one")).fate})
 
-    async def test_a_package_in_use_stays_and_one_that_is_not_may_go(self):
-        row = json.loads(self.other())
-        await self.asks(1)
-        self.put(
+    async def test_only_unused_packages_can_be_removed(self):
+        row = json.loads(self.probe_settings())
+        await self.start_viewings(1)
+        self.set_settings(
             json.dumps(
                 {
                     **row,
@@ -114,20 +114,20 @@
                 }
             )
         )
-        status, told = await self.load()
-        self.assertEqual((422, "packages.clip"), (status, told["key"]))
-        self.assertIn("kept while 1 viewings are in it", told["detail"])
+        status, answer = await self.reload()
+        self.assertEqual((422, "packages.clip"), (status, answer["key"]))
+        self.assertIn("kept while 1 viewings are in it", answer["detail"])
         row["packages"] = {"new": {**row["packages"]["push"], "effect": "safe"}, "clip": row["packages"]["clip"]}
         row["titles"] = {"one": row["titles"]["one"], "two": {"first_cell": 0, "cells": 2, "view": "new"}}
-        self.put(json.dumps(row))
-        self.assertEqual(200, (await self.load())[0])
+        self.set_settings(json.dumps(row))
+        self.assertEqual(200, (await self.reload())[0])
         self.assertEqual({"clip": 0, "new": 3}, self.fronts[0].sense.packages)  # numbers in use stay
         self.assertEqual(["plays", "plays"], [(await self.ask(title)).fate for title in ("one", "two")])
         self.assertEqual(404, (await self.ask("cam")).status)
 
-    async def test_probes_that_fail_come_back_as_failed(self):
-        self.put(self.other())
-        await self.load()
+    async def test_failed_probes_are_reported_as_failed(self):
+        self.set_settings(self.probe_settings())
+        await self.reload()
         front, heard = self.fronts[0], []
         self.trouble(1, "hang")
         self.list.frozen = True
@@ -139,19 +139,19 @@
             )
         await self.log[0].seen("heard", 4)
         heard = {box: row for box, *row in heard}
-        self.assertIn(heard.pop(2), (["unreached", 0], ["reset", 0]))  # by whether a connection was kept
+        self.assertIn(heard.pop(2), (["unreached", 0], ["reset", 0]))  # depends on whether a connection was kept open
         self.assertEqual({1: ["timeout", 0], 3: ["ok", 3], 99: ["unreached", 0]}, heard)
 
 
 class WhatMayChange(unittest.TestCase):
-    def test_both_examples_can_follow_where_their_shapes_allow_it(self):
+    def test_which_changes_between_the_examples_are_refused(self):
         choir, chargers = (read_site(EXAMPLES / f"{name}.jsonnet") for name in ("choir", "chargers"))
         self.assertEqual([], refusals(choir, choir, "old-house", 1, {"practice-clip": 2}, [], 30_000))
         found = dict(refusals(choir, chargers, "old-house", 1, {"practice-clip": 2}, [], 30_000))
         self.assertEqual({"ladder.kb", "packages.practice-clip", "zones"}, set(found))
         self.assertIn("5 rates as now", found["ladder.kb"])
 
-    def test_old_files_mean_what_they_meant(self):
+    def test_files_without_newer_settings_keep_their_meaning(self):
         terms = ManagerSite(read_site(EXAMPLES / "boats.jsonnet")).terms
         self.assertEqual(
             (("link",), False, True, False, 0),
@@ -167,7 +167,7 @@
     def test_config_check_names_the_key(self):
         with tempfile.TemporaryDirectory() as folder:
             file = pathlib.Path(folder) / "site.jsonnet"
-            for change, said in (
+            for change, message in (
                 ("fleet+: { reports: 'probes' }", "fleet.reports"),
                 ("allowed+: { probes: false }", "allowed.probes"),
                 ("fleet+: { weights: 'rough' }", "fleet.weights"),
@@ -176,7 +176,7 @@
             ):
                 file.write_text(f"(import '{EXAMPLES / 'choir.jsonnet'}') {{ {change} }}")
                 done = flaxscale("config", "check", str(file))
-                self.assertEqual((2, 1), (done.returncode, done.stderr.count(said)), done.stderr)
+                self.assertEqual((2, 1), (done.returncode, done.stderr.count(message)), done.stderr)
                 self.assertIn(str(file), done.stderr)
         with self.assertRaises(SiteError):
             read_site(EXAMPLES / "none.jsonnet")
