--- a/flaxscale/catalogue/state.py
+++ b/flaxscale/catalogue/state.py
@@ -190,10 +190,10 @@
             holders = dict(before.holders)
             if op.state == "gone":
                 if op.box not in holders:
-                    raise ValueError(f"box {op.box} is no holder")
+                    raise ValueError(f"box {op.box} is not a holder")
                 del holders[op.box]
             elif op.state not in STATES:
-                raise ValueError(f"{op.state[:20]!r} is no state of a holder: {', '.join(STATES)} or gone")
+                raise ValueError(f"{op.state[:20]!r} is not a state of a holder: {', '.join(STATES)} or gone")
             else:
                 holders[op.box] = op.state
             return msgspec.structs.replace(before, holders=tuple(sorted(holders.items())))
@@ -212,7 +212,7 @@
             holders = before.holders if before is not None else ()
         else:
             if invalid := [box for box in op.holders if not (box.isascii() and box.isdigit())]:
-                raise ValueError(f"{invalid[0][:20]!r} is no box id")
+                raise ValueError(f"{invalid[0][:20]!r} is not a box id")
             holders = tuple(sorted((int(box), state) for box, state in op.holders.items() if state != "gone"))
         return Title(
             op.name,
@@ -236,7 +236,7 @@
             if use is None:
                 continue
             if use not in limits.floors:
-                yield f"the package {use[:40]!r} is none of {', '.join(sorted(limits.floors))}"
+                yield f"the package {use[:40]!r} is not one of {', '.join(sorted(limits.floors))}"
             elif t.top < limits.floors[use]:
                 yield f"no rendition at the floor of {use}: rung {limits.floors[use]}, the title's top is {t.top}"
         if not 0 <= t.low <= t.top:
@@ -249,7 +249,7 @@
             yield f"{len(t.holders)} holders; {HOLDERS_LIMIT} at most"
         for box, state in t.holders:
             if state not in STATES:
-                yield f"holder {box}: {state[:20]!r} is no state: {', '.join(STATES)}"
+                yield f"holder {box}: {state[:20]!r} is not a state: {', '.join(STATES)}"
             if not 0 <= box < 1 << 32:
                 yield f"holder {box}: ids are 0 to 4294967295"
         for package, seats in t.seats:
--- a/flaxscale/catalogued/service.py
+++ b/flaxscale/catalogued/service.py
@@ -363,9 +363,8 @@
             return
         if first.epoch == self.epoch and first.version > self.catalogue.committed_version:
             self.start_new_epoch(first.name, first.version)
-        await context.send_initial_metadata(
-            ()
-        )  # tells the watcher that it is connected, though there may be no message yet
+        # Tells the watcher that it is connected, though there may be no message yet.
+        await context.send_initial_metadata(())
         watcher = Watcher(first.name, first.role, first.epoch, first.version if first.epoch else None, self.epoch)
         wake = asyncio.Event()
         self.watchers[first.name], self.wake_events[first.name] = watcher, wake
--- a/flaxscale/cli/catalogue.py
+++ b/flaxscale/cli/catalogue.py
@@ -22,7 +22,7 @@
 
 @catalogue.command()
 @click.argument("site", type=click.Path())
-@click.option("--store", required=True, type=click.Path(), help="Folder of its durable store.")
+@click.option("--store", required=True, type=click.Path(), help="Folder of the durable store.")
 @click.option("--host", default="127.0.0.1", show_default=True)
 @click.option("--port", default=7070, show_default=True)
 @click.option("--log-level", default="info", type=click.Choice(list(LEVELS)), show_default=True)
@@ -122,9 +122,9 @@
             default=None,
             help="Id of the change: a repeat with the same id is not made twice. Random by default.",
         ),
-        click.option("--why", default="", help="Kept with the change."),
+        click.option("--why", default="", help="Reason, stored with the change."),
         click.option("--dry", is_flag=True, help="Check only."),
-        click.option("--force", is_flag=True, help="Let seats go under those in use."),
+        click.option("--force", is_flag=True, help="Allow fewer seats than are in use."),
         click.option("--expect", default=None, type=int, help="Only if the catalogue is at this version."),
     ):
         command = option(command)
@@ -141,11 +141,11 @@
 
 @catalogue.command()
 @click.argument("file", type=click.Path())
-@click.option("--keep", is_flag=True, help="Leave titles that FILE does not name; they are dropped otherwise.")
+@click.option("--keep", is_flag=True, help="Keep titles that are not in FILE; without it they are dropped.")
 @change_options
 @service_command
 async def put(client, file, keep, expect, force, dry, why, id):
-    """Make the catalogue what FILE says (Jsonnet or Parquet), in one change set."""
+    """Change the catalogue to that of FILE (Jsonnet or Parquet), in one change set."""
     from ..catalogue.files import ops_to_reach, read_catalogue
 
     puts = read_catalogue(file)
@@ -178,7 +178,7 @@
 @click.argument("new", type=int, required=False)
 @service_command
 async def diff(client, old, new):
-    """What changed from version OLD to NEW (the present one if left out)."""
+    """What changed from version OLD to NEW (default: the present one)."""
     from ..catalogue.state import diff as title_diff
 
     (_, before), (_, after) = await client.get(old), await client.get(new)
@@ -199,7 +199,7 @@
 @click.option("--last", default=20, show_default=True)
 @service_command
 async def log(client, last):
-    """The last changes, with who made them and why."""
+    """Show the last changes, with their authors and reasons."""
     from ..proto import catalogue_pb2 as pb
 
     for c in (await client.call("History", pb.HistoryRequest(last=last))).changes:
@@ -212,7 +212,7 @@
 @click.option("--expect", default=None, type=int)
 @service_command
 async def rollback(client, version, expect):
-    """Make the catalogue what it was at VERSION, as a new version."""
+    """Restore the catalogue of VERSION, as a new version."""
     from ..catalogued.client import new_id
     from ..proto import catalogue_pb2 as pb
 
@@ -229,7 +229,7 @@
 @click.argument("title")
 @service_command
 async def holders(client, title):
-    """Who holds TITLE, and what it is."""
+    """Show TITLE and its holders."""
     version, titles = await client.get(titles=[title])
     if title not in titles:
         click.echo(f"flaxscale: version {version}: no title {title!r}", err=True)
@@ -260,7 +260,7 @@
 @catalogue.command("plan")
 @click.argument("question", type=click.Path())
 @click.option("--out", default=None, type=click.Path(), help="Write the change set here, for `catalogue edit`.")
-@click.option("--seconds", default=20.0, show_default=True, help="For the solver, at most.")
+@click.option("--seconds", default=20.0, show_default=True, help="Time limit of the solver.")
 @service_command
 async def plan_command(client, question, out, seconds):
     """Which boxes should hold what: copies to add and drop for the demand in QUESTION (Jsonnet)."""
@@ -337,7 +337,7 @@
 @catalogue.command("who")
 @service_command
 async def who_command(client):
-    """Who follows the catalogue, at which version, and who refused one."""
+    """Show the watchers of the catalogue, with their versions and refusals."""
     from ..proto import catalogue_pb2 as pb
 
     reply = await client.call("Who", pb.WhoRequest())
--- a/flaxscale/site/terms.py
+++ b/flaxscale/site/terms.py
@@ -38,10 +38,8 @@
     def __init__(self, site, me=0, zone=0, seed=0, before=None):
         self.site, self.me, self.seed = site, me, seed
         self.package_rows = {**(before.package_rows if before else {}), **site.packages}
-        self.stream_limits = {
-            **(before.stream_limits if before else {}),
-            **site.fleet.kinds,
-        }  # maximum of streams by kind
+        # kind: maximum of streams
+        self.stream_limits = {**(before.stream_limits if before else {}), **site.fleet.kinds}
         self.packages = {name: n for name, n in numbers(self.package_rows).items() if name in site.packages}
         self.kinds = numbers(self.stream_limits)
         self.zones = numbers({**(before.zones if before else {}), **numbers(site.zones)})
@@ -57,11 +55,12 @@
             if figure
         }
         self.load_names = tuple(self.load_figures.values())  # as in a probe's answer, in the order of the terms
+        # The figures that a set-up's answer has.
         self.note_kinds = {
             self.load_figures[name]: kind
             for name, kind in (("link", interface.NoteKind.LINK), ("uplink", interface.NoteKind.UPLINK))
             if name in self.load_figures and fleet.reports == "answers"
-        }  # figures that a set-up's answer has
+        }
         self.terms = self.build_terms()
 
     def build_terms(self):
--- a/tests/test_catalogue.py
+++ b/tests/test_catalogue.py
@@ -70,8 +70,8 @@
             )
         messages = [str(f) for f in caught.exception.faults]
         for n, detail in (
-            (1, "the package 'none' is none of clip, live"),
-            (2, "'odd' is no state"),
+            (1, "the package 'none' is not one of clip, live"),
+            (2, "'odd' is not a state"),
             (3, "no such title"),
             (4, "no holder"),
             (5, "no rendition at the floor of live: rung 1"),
@@ -81,7 +81,7 @@
             (8, "rungs 4 to 2"),
             (9, "0 seats in live"),
             (10, "a name of 1 to 200"),
-            (11, "box 9 is no holder"),
+            (11, "box 9 is not a holder"),
         ):
             self.assertTrue(
                 any(s.startswith(f"operation {n},") and detail in s for s in messages), (n, detail, messages)
