--- a/flaxscale/catalogued/streams.py
+++ b/flaxscale/catalogued/streams.py
@@ -8,7 +8,7 @@
 from ..serve.clock import now
 from ..serve.limit import within
 
-RETRY_MIN_S = 0.2  # first pause before a new stream
+RETRY_MIN_S = 0.2  # pause after a long-lived stream; it grows after short ones
 RETRY_MAX_S = 3.0  # longest pause
 STABLE_AFTER = 50_000  # tenths of ms; after a stream that lasted longer the pause starts from its minimum again
 RECANCEL_S = 0.2  # between two cancellations of a task
