--- a/flaxscale/catalogue/replication.py
+++ b/flaxscale/catalogue/replication.py
@@ -122,9 +122,8 @@
             self.incoming_parts = None
             raise VersionGap(f"a part of version {message.version} without the parts before it")
         self.incoming_parts[2].update((t.name, t) for t in message.titles)
-        self.incoming_parts[3][0] += digest.total(
-            message.titles
-        )  # part by part: hashing a large snapshot at once would block the event loop
+        # Part by part: hashing a large snapshot at once would block the event loop.
+        self.incoming_parts[3][0] += digest.total(message.titles)
         if not message.last:
             return None
         (_, version, titles, (total,)), self.incoming_parts = self.incoming_parts, None
--- a/flaxscale/catalogued/peaks.py
+++ b/flaxscale/catalogued/peaks.py
@@ -33,10 +33,10 @@
 class PeakService(pb_grpc.PeaksServicer):
     """Announcements of peaks: changes, a watch stream, and a list for operators."""
 
-    def __init__(self, files, epoch, frame, titles, log, wall=time.time):
-        """frame: the catalogue.state.SiteLimits. titles(): the catalogue's present titles. wall(): Unix seconds."""
+    def __init__(self, files, epoch, limits, titles, log, wall=time.time):
+        """limits: the catalogue.state.SiteLimits. titles(): the catalogue's present titles. wall(): Unix seconds."""
         self.store, self.epoch, self.log, self.wall = Latest(files, SNAPSHOT_EVERY), epoch, log, wall
-        self.rungs, self.packages, self.titles = frame.rungs, tuple(frame.floors), titles
+        self.rungs, self.packages, self.titles = limits.rungs, tuple(limits.floors), titles
         self.book = PeakBook() if self.store.kept is None else decode(self.store.kept)[1]
         self.managers, self.broken, self.stopped = {}, None, False
         self.store_retry = StoreRetry(self.resume, self.on_resumed)
--- a/flaxscale/catalogued/service.py
+++ b/flaxscale/catalogued/service.py
@@ -32,7 +32,7 @@
 class CatalogueService(pb_grpc.CatalogueServicer):
     """Changes and queries for operators, and the watch streams of managers and boxes."""
 
-    def __init__(self, files, frame, log, recorder=None, peak_files=None, fleet=None, lease_files=None, tasks=None):
+    def __init__(self, files, limits, log, recorder=None, peak_files=None, fleet=None, lease_files=None, tasks=None):
         """recorder: gets versions as they become durable, and acknowledgements; optional.
 
         peak_files: store of announced peaks; without it there is no peak service.
@@ -40,7 +40,7 @@
         lease_files, tasks: store of leases and the enabled duties; without either there are no leases.
         """
         self.files, self.log, self.recorder = files, log, recorder
-        self.catalogue = DurableCatalogue(files, frame)
+        self.catalogue = DurableCatalogue(files, limits)
         self.epoch, self.fleet = self.load_epoch(files), fleet or FleetRow(1, 1, {}, 1, 1)
         self.commit_times, self.floor_task = deque([(self.catalogue.committed_version, now())], 1000), None
         self.watchers, self.wake_events = {}, {}
@@ -48,7 +48,7 @@
         self.broken, self.store_retry = None, StoreRetry(self.catalogue.resume, self.on_resumed)
         self.server, self.stopped = None, asyncio.Event()
         self.peaks = peak_files and PeakService(
-            peak_files, self.epoch, frame, lambda: self.catalogue.current.titles, log
+            peak_files, self.epoch, limits, lambda: self.catalogue.current.titles, log
         )
         self.leases = LeaseService(lease_files, tasks, self.act, log, recorder) if lease_files and tasks else None
         self.record_version(self.catalogue.committed_version, self.catalogue.current.titles)
