--- a/flaxscale/jsonl/messages.py
+++ b/flaxscale/jsonl/messages.py
@@ -17,7 +17,13 @@
 COUNT_MOST = 65_535  # cells and rungs
 
 # Causes (ITU-T Q.850) as the platform gives them meaning.
-NORMAL, MOVED, FULL, CUT, FAILED, BAD, NEVER = 16, 31, 34, 41, 47, 100, 102
+NORMAL = 16
+MOVED = 31
+FULL = 34
+CUT = 41
+FAILED = 47
+BAD = 100
+NEVER = 102
 BEFORE = {FULL: Outcome.FULL, FAILED: Outcome.ERROR, NEVER: Outcome.MOOT}  # other causes: the set-up broke on its way
 AFTER = {NORMAL: Outcome.OK, MOVED: Outcome.CANCELLED}  # other causes: what played was cut
 ANSWERS = ("accept", "end")
--- a/flaxscale/peaks/announce.py
+++ b/flaxscale/peaks/announce.py
@@ -2,7 +2,10 @@
 
 import msgspec
 
-NAME_LIMIT, TITLES_LIMIT, BOXES_LIMIT, STEPS_LIMIT = 80, 500, 4096, 720
+NAME_LIMIT = 80  # characters
+TITLES_LIMIT = 500
+BOXES_LIMIT = 4096  # in one schedule
+STEPS_LIMIT = 720  # for each box of a schedule
 
 
 class BoxRoom(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/flaxscale/serve/server.py
+++ b/flaxscale/serve/server.py
@@ -15,7 +15,9 @@
 
 WAITING = 8  # requests read ahead on one connection
 STREAM_BACKLOG = 1 << 20  # a stream whose reader is further behind is cut
-LINGER, LINGER_BYTES = 20_000, 4 << 20  # after a refusal so long, and so much, is read for nothing
+# After a refusal, input is read and discarded for so long and up to so many bytes.
+LINGER = 20_000  # tenths of a millisecond
+LINGER_BYTES = 4 << 20
 GONE = 7, 8  # TCP_INFO's first byte: closed, and closed by the other side (tcp_states.h)
 
 
--- a/flaxscale/signalling/sdp.py
+++ b/flaxscale/signalling/sdp.py
@@ -10,7 +10,8 @@
 HASHES = {"sha-1": 20, "sha-224": 28, "sha-256": 32, "sha-384": 48, "sha-512": 64}  # bytes (RFC 8122, 5)
 DIRECTIONS = ("sendrecv", "sendonly", "recvonly", "inactive")
 PROTOCOLS = ("UDP/TLS/RTP/SAVPF", "UDP/TLS/RTP/SAVP", "TCP/DTLS/RTP/SAVPF", "TCP/TLS/RTP/SAVPF")
-LIMIT_LINES, LIMIT_MEDIA = 2000, 16
+LIMIT_LINES = 2000
+LIMIT_MEDIA = 16  # media sections
 
 
 class SdpError(ValueError):
