--- a/flaxscale/catalogued/peaks.py
+++ b/flaxscale/catalogued/peaks.py
@@ -76,7 +76,7 @@
             return pb.ChangeReply(version=self.book.version, faults=no.reasons[:100])
         except msgspec.MsgspecError as bad:
             return pb.ChangeReply(version=self.book.version, faults=[f"the fields can't be read: {bad}"])
-        book.did(request.id)
+        book.record_change_id(request.id)
         try:
             # Durable before anyone hears of it: a change that was told outlives the service.
             self.store.put(encode(self.epoch, book))
--- a/flaxscale/catalogued/peakwatch.py
+++ b/flaxscale/catalogued/peakwatch.py
@@ -32,7 +32,7 @@
             self.store = Latest(self.files, SNAPSHOT_EVERY)
             if self.store.kept is not None:
                 epoch, book = decode(self.store.kept)
-                self.follower.take(epoch, book.version, book.peaks.values())
+                self.follower.apply(epoch, book.version, book.peaks.values())
                 self.changed(self.follower.peaks)
         except (StoreError, OSError, ValueError) as bad:
             self.log.error("kept peaks not used", detail=str(bad))
@@ -67,7 +67,7 @@
     def take(self, reply):
         """One version; what to say to it."""
         try:
-            moved = self.follower.take(reply.epoch, reply.version, [wire.peak_in(p) for p in reply.peaks])
+            moved = self.follower.apply(reply.epoch, reply.version, [wire.peak_in(p) for p in reply.peaks])
         except ValueError as bad:
             self.log.error("peaks refused", version=reply.version, why=str(bad)[:300])
             return pb.WatchRequest(name=self.name, refusal=pb.Refusal(version=reply.version, why=str(bad)[:500]))
--- a/flaxscale/cli/peaks.py
+++ b/flaxscale/cli/peaks.py
@@ -85,10 +85,10 @@
 
 
 def time_of(text, now_s, option):
-    from ..peaks.times import read_time
+    from ..peaks.times import parse_time
 
     try:
-        return read_time(text, now_s)
+        return parse_time(text, now_s)
     except ValueError as bad:
         raise click.UsageError(f"{option}: {bad}") from None
 
@@ -185,14 +185,15 @@
 async def list_command(client):
     """All announcements, and where each stands."""
     from ..peaks import wire
-    from ..peaks.times import say_time
+    from ..peaks.times import format_time
 
     reply = await listed(client)
     click.echo(f"version {reply.version}, {len(reply.peaks)} announced")
     for p in sorted((wire.peak_in(p) for p in reply.peaks), key=lambda p: p.start_s):
         what = ", ".join([*p.titles[:4], *(["..."] if len(p.titles) > 4 else []), *p.packages])
         click.echo(
-            f"  {p.name}: {what}; {say_time(p.start_s)} to {say_time(p.end_s)}, {p.rate:g}/s; {stands(p, reply.now_s)}"
+            f"  {p.name}: {what}; {format_time(p.start_s)} to {format_time(p.end_s)}, {p.rate:g}/s; "
+            f"{stands(p, reply.now_s)}"
         )
 
 
@@ -202,7 +203,7 @@
 async def show(client, name):
     """One announcement: what it says, its room, what managers see come, its history."""
     from ..peaks import wire
-    from ..peaks.times import say_time
+    from ..peaks.times import format_time
 
     reply = await listed(client)
     found = next((wire.peak_in(p) for p in reply.peaks if p.name == name), None)
@@ -212,7 +213,7 @@
     click.echo(f"{name}: {stands(found, reply.now_s)}")
     click.echo(f"  titles {', '.join(found.titles) or '-'}; packages {', '.join(found.packages) or '-'}")
     click.echo(
-        f"  {say_time(found.start_s)} to {say_time(found.end_s)}, ramp {found.ramp_s:g} s, {found.rate:g} a "
+        f"  {format_time(found.start_s)} to {format_time(found.end_s)}, ramp {found.ramp_s:g} s, {found.rate:g} a "
         f"second, each for {found.length_s:g} s; rung {found.rung}, sure {found.sure:g}, "
         f"lead {found.lead_s:g} s"
     )
@@ -229,7 +230,9 @@
             click.echo(f"  {m.name} refused version {m.refused}: {m.why}")
     for c in reply.history:
         if c.name == name:
-            click.echo(f"  version {c.version}: {c.what} {say_time(c.at_s)} by {c.who or '?'}{c.why and ': ' + c.why}")
+            click.echo(
+                f"  version {c.version}: {c.what} {format_time(c.at_s)} by {c.who or '?'}{c.why and ': ' + c.why}"
+            )
     return 0
 
 
@@ -242,7 +245,7 @@
 async def plan(client, question, put, out, seconds):
     """Plan the room for what is announced: QUESTION (Jsonnet) says boxes, uplinks, demand and recent lengths."""
     from ..peaks import wire
-    from ..peaks.plan import Ask, lines, plan_peaks, read_question
+    from ..peaks.plan import PlanRequest, lines, plan_peaks, read_question
     from ..proto import peaks_pb2 as pb
 
     asked = site_errors(lambda: read_question(question))
@@ -261,7 +264,7 @@
         click.echo("nothing is announced")
         return 0
     began = time.perf_counter()
-    made = site_errors(lambda: plan_peaks(Ask(asked, tuple(peaks), held, package, reply.now_s, seen, seconds)))
+    made = site_errors(lambda: plan_peaks(PlanRequest(asked, tuple(peaks), held, package, reply.now_s, seen, seconds)))
     for line in lines(made):
         click.echo(line)
     click.echo(f"planned in {time.perf_counter() - began:.1f} s")
--- a/flaxscale/front/peaks.py
+++ b/flaxscale/front/peaks.py
@@ -6,7 +6,7 @@
 from ..catalogue.view import title_id
 from ..peaks.announce import faults
 from ..peaks.axis import Axis
-from ..peaks.keeper import RoomKeeper, Surroundings, rates_of
+from ..peaks.keeper import PeakEnvironment, PeakReserver, bandwidth_function
 from ..serve.clock import now
 
 EVERY_S = 1.0
@@ -17,10 +17,12 @@
     def __init__(self, front, address=None, files=None):
         site = front.site
         self.front, self.site, self.axis = front, site, Axis()
-        self.room_kb, self.timer, self.turns, self.telling, self.told = rates_of(site), None, 0, None, None
+        self.room_kb, self.timer, self.turns, self.telling, self.told = bandwidth_function(site), None, 0, None, None
         self.stated = [row.announcement() for row in site.peaks]
-        self.keeper = RoomKeeper(
-            self.stated, Surroundings(self.room_of, front.holders, site.fleet.racks, site.fleet.uplink_kb), self.now()
+        self.keeper = PeakReserver(
+            self.stated,
+            PeakEnvironment(self.room_of, front.holders, site.fleet.racks, site.fleet.uplink_kb),
+            self.now(),
         )
         self.watch, self.kept_kb = None, 0.0
         if address:
@@ -30,8 +32,8 @@
 
     def rule(self, site):
         """Goes by these settings from now on; what was announced and who came to it stands."""
-        self.site, self.room_kb = site, rates_of(site)
-        self.keeper.fleet = Surroundings(self.room_of, self.front.holders, site.fleet.racks, site.fleet.uplink_kb)
+        self.site, self.room_kb = site, bandwidth_function(site)
+        self.keeper.fleet = PeakEnvironment(self.room_of, self.front.holders, site.fleet.racks, site.fleet.uplink_kb)
 
     def start(self):
         if self.watch:
@@ -42,7 +44,7 @@
         return self.axis.at(now() / 10_000, time.time())
 
     def heard_clock(self, service_s):
-        self.axis.hear(service_s, now() / 10_000)
+        self.axis.add_reading(service_s, now() / 10_000)
 
     def check(self, peaks):
         """Titles that this manager does not know yet are no fault: they may come with the catalogue's next version."""
@@ -68,7 +70,7 @@
 
     def asked(self, title, package):
         if self.keeper.peaks:
-            self.keeper.asked(title, package, self.site.managers)
+            self.keeper.record_request(title, package, self.site.managers)
 
     def each(self):
         """Each second: the room kept now, to the module; what was seen, to the service."""
@@ -77,7 +79,7 @@
             return
         runner, s = self.front.runner, self.now()
         servers = {id: (srv.row, srv.link.capacity_kb) for id, srv in runner.manager.servers.items()}
-        rooms, titles, packages = self.keeper.rooms(s, servers)
+        rooms, titles, packages = self.keeper.reserve(s, servers)
         self.kept_kb = sum(rooms.values())
         told = rooms, titles, packages
         if told != self.told or rooms:
@@ -91,14 +93,19 @@
                 "room kept",
                 kb=round(self.kept_kb),
                 boxes=len(rooms),
-                peaks=sorted(self.keeper.kept),
-                given_up=round(self.keeper.given_up),
+                peaks=sorted(self.keeper.reserved_kb),
+                given_up=round(self.keeper.unplaced_kb),
             )
         self.told = told if rooms or titles or packages else None
         self.turns += 1
         if self.watch and self.turns % TELL_EVERY == 0 and (self.telling is None or self.telling.done()):
             seen = [
-                (p.name, self.keeper.come[p.name], max(0.0, self.keeper.due(p, s)), self.keeper.kept.get(p.name, 0.0))
+                (
+                    p.name,
+                    self.keeper.arrivals[p.name],
+                    max(0.0, self.keeper.expected_arrivals(p, s)),
+                    self.keeper.reserved_kb.get(p.name, 0.0),
+                )
                 for p in self.keeper.peaks
                 if p.start_s - p.lead_s <= s < p.end_s + 10
             ]
@@ -111,14 +118,14 @@
             "version": version,
             "up": up,
             "kept_kb": round(self.kept_kb),
-            "given_up_kb": round(self.keeper.given_up),
+            "given_up_kb": round(self.keeper.unplaced_kb),
             "peaks": {
                 p.name: {
                     "starts_in_s": round(p.start_s - s, 1),
                     "ends_in_s": round(p.end_s - s, 1),
-                    "came": self.keeper.come[p.name],
-                    "due": round(max(0.0, self.keeper.due(p, s)), 1),
-                    "kept_kb": round(self.keeper.kept.get(p.name, 0.0)),
+                    "came": self.keeper.arrivals[p.name],
+                    "due": round(max(0.0, self.keeper.expected_arrivals(p, s)), 1),
+                    "kept_kb": round(self.keeper.reserved_kb.get(p.name, 0.0)),
                 }
                 for p in self.keeper.peaks
             },
--- a/flaxscale/lab/day.py
+++ b/flaxscale/lab/day.py
@@ -230,7 +230,7 @@
             for p in self.day.peaks:
                 reply = await client.call(
                     "Change",
-                    pb.ChangeRequest(announce=wire.peak_out(p.moved(began)), why="the day's"),
+                    pb.ChangeRequest(announce=wire.peak_out(p.shifted(began)), why="the day's"),
                     stub=client.peaks,
                 )
                 if reply.faults:
--- a/flaxscale/model/play.py
+++ b/flaxscale/model/play.py
@@ -14,7 +14,7 @@
 from ..lab.shapes import holders_of, ways_of
 from ..lab.ways import CLEAR, Fault, Ways, in_pieces
 from ..leases.duties import tasks_of
-from ..peaks.keeper import RoomKeeper, Surroundings, rates_of
+from ..peaks.keeper import PeakEnvironment, PeakReserver, bandwidth_function
 from ..run import AnswerKind
 from ..site.terms import Sense
 from ..standins.box import site_of
@@ -39,10 +39,10 @@
         self.keeper, self.titles, self.packages = keeper, titles, packages
 
     def asked(self, title, package, peers):
-        self.keeper.asked(title, package, peers)
+        self.keeper.record_request(title, package, peers)
 
     def rooms(self, s, servers):
-        rooms, titles, packages = self.keeper.rooms(s, servers)
+        rooms, titles, packages = self.keeper.reserve(s, servers)
         return (
             rooms,
             {self.titles[t]: rung for t, rung in titles.items()},
@@ -132,7 +132,7 @@
         self.down = Counter()  # of troubles that keep a box or a manager down
         self.faults, self.seconds, self.ids = [], defaultdict(Row), 0
         self.titles = {name: n for n, name in enumerate(sorted(day.site.titles))}
-        self.rates, self.held = rates_of(day.site), {}
+        self.rates, self.held = bandwidth_function(day.site), {}
         self.by_key, self.records = {}, []  # records: (when, what, who, ...) of members and claims
         tasks = tasks_of(day.site.duties, day.site.fleet.drift)
         self.grants = Service(self, tasks) if tasks and day.members and day.catalogue is not None else None
@@ -153,7 +153,7 @@
             return self.rates(day.site.titles[title].view if title in day.site.titles else title, *rest)
 
         fleet = day.site.fleet
-        made = RoomKeeper(self.peaks, Surroundings(room_kb, self.holders, fleet.racks, fleet.uplink_kb), since)
+        made = PeakReserver(self.peaks, PeakEnvironment(room_kb, self.holders, fleet.racks, fleet.uplink_kb), since)
         if self.keep is not True:
             return FixedRoom(made, self.keep, self.titles, self.numbers)
         return Numbered(made, self.titles, self.numbers)
@@ -637,7 +637,7 @@
             self.rates(
                 site.titles[t].view if t in site.titles else t,
                 p.rung,
-                p.watch_at(max(s, p.start_s + 1)) / parts,
+                p.viewings_at(max(s, p.start_s + 1)) / parts,
                 max(1, len(self.holders(t)) if t in titles else len(self.fleet.boxes)),
             )
             for t in (*p.titles, *p.packages)
@@ -796,7 +796,7 @@
         manager.keep_room(s)
         if manager.up and manager.keeper is not None:
             row, keeper = self.second(), manager.keeper.keeper
-            for name, kb in keeper.kept.items():
+            for name, kb in keeper.reserved_kb.items():
                 row.kept[name] = max(row.kept.get(name, 0.0), kb)
         self.world.later(SECOND, self.keep_rooms, manager)
 
--- a/flaxscale/model/rehearse.py
+++ b/flaxscale/model/rehearse.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ..lab.shapes import holders_of, link_of, read_day
-from ..peaks.plan import Ask, BoxAsked, Question, plan_peaks
+from ..peaks.plan import BoxInput, PlanRequest, Question, plan_peaks
 from .experiment import interval
 from .play import Play
 
@@ -40,7 +40,7 @@
     site, demand = day.site, day.demand
     ladder = site.ladder
     boxes = [
-        BoxAsked(n + 1, link_of(day, b), b.cell % site.fleet.racks, site.fleet.kinds[b.kind], 0.0 if b.cold else 1e9)
+        BoxInput(n + 1, link_of(day, b), b.cell % site.fleet.racks, site.fleet.kinds[b.kind], 0.0 if b.cold else 1e9)
         for n, b in enumerate(day.boxes)
     ]
     held = {name: set(holders_of(day, name)) for name in site.titles}
@@ -53,7 +53,7 @@
         asked[name] = demand.rate * weight / whole * mean_s * kb
     low, high = demand.play_s
     lengths = [low + (high - low) * (n + 0.5) / 40 for n in range(40)]
-    return Ask(Question(site, boxes, asked, lengths), tuple(day.peaks), held, package, now_s)
+    return PlanRequest(Question(site, boxes, asked, lengths), tuple(day.peaks), held, package, now_s)
 
 
 def scheduled(day):
--- a/flaxscale/peaks/announce.py
+++ b/flaxscale/peaks/announce.py
@@ -43,17 +43,17 @@
             return 0.0
         return self.rate * min(1.0, (s - self.start_s) / self.ramp_s) if self.ramp_s else self.rate
 
-    def come_by(self, s):
+    def arrivals_by(self, s):
         """How many should have come by a time."""
         span = max(0.0, min(s, self.end_s) - self.start_s)
         ramp = min(self.ramp_s, span)
         return self.rate * (ramp * ramp / (2 * self.ramp_s) if self.ramp_s else 0.0) + self.rate * (span - ramp)
 
-    def watch_at(self, s):
+    def viewings_at(self, s):
         """How many should be watching at a time, each for the mean length."""
-        return self.come_by(s) - self.come_by(s - self.length_s)
+        return self.arrivals_by(s) - self.arrivals_by(s - self.length_s)
 
-    def moved(self, by_s):
+    def shifted(self, by_s):
         """The same on an axis that reads so much more."""
         return msgspec.structs.replace(
             self,
--- a/flaxscale/peaks/axis.py
+++ b/flaxscale/peaks/axis.py
@@ -15,7 +15,7 @@
     def __init__(self):
         self.told, self.first = deque(maxlen=LATEST), None
 
-    def hear(self, service_s, steady_s):
+    def add_reading(self, service_s, steady_s):
         """The service's clock said this, read at this time of our steady clock."""
         difference = service_s - steady_s
         if self.told and abs(difference - max(self.told)) > 5.0:
--- a/flaxscale/peaks/book.py
+++ b/flaxscale/peaks/book.py
@@ -103,7 +103,7 @@
         self.history = [*self.history, Change(self.version, now_s, who, why, what, name)][-200:]
         return self.version
 
-    def did(self, id):
+    def record_change_id(self, id):
         """The version that stands now was asked for under this id: asked for again, it is not made again."""
         if id:
             self.done[id] = self.version
@@ -148,7 +148,7 @@
         """check(peaks) gives (name, detail) of what this manager can't go by: that version is refused."""
         self.check, self.epoch, self.version, self.peaks = check, None, None, ()
 
-    def take(self, epoch, version, peaks):
+    def apply(self, epoch, version, peaks):
         """True where the announcements moved; False: known before. ValueError: refused, all as it was."""
         if epoch == self.epoch and self.version is not None and version <= self.version:
             return False
--- a/flaxscale/peaks/plan.py
+++ b/flaxscale/peaks/plan.py
@@ -21,9 +21,9 @@
 from ..site.shapes import Site
 from ..site.terms import checked
 from .announce import BoxRoom
-from .keeper import MOST, rates_of
+from .keeper import MAX_RESERVED_SHARE, bandwidth_function
 from .lengths import fit
-from .times import say_time
+from .times import format_time
 
 STEPS = 40  # steps of time at most; each is at least LEAST_STEP_S
 LEAST_STEP_S = 2.0
@@ -33,7 +33,7 @@
 LEAD_MOST = 120.0  # seconds; longer, and ordinary viewings pay for room that nobody uses
 
 
-class BoxAsked(msgspec.Struct, forbid_unknown_fields=True):
+class BoxInput(msgspec.Struct, forbid_unknown_fields=True):
     id: int
     link_kb: float
     rack: int = 0
@@ -46,13 +46,13 @@
     """What the planner can't see: the fleet, what is asked besides, how long viewings were lately."""
 
     site: Site
-    boxes: list[BoxAsked]
+    boxes: list[BoxInput]
     demand: dict[str, float] = {}  # ordinary, by title: kB a second
     lengths: list[float] = []  # seconds of recent viewings
     uplinks: dict[str, float] = {}  # by rack; the site's own where left out
 
 
-class Ask(NamedTuple):
+class PlanRequest(NamedTuple):
     question: Question
     peaks: tuple  # Announcements, on one axis with now_s
     held: dict  # title: boxes that hold it
@@ -207,7 +207,7 @@
 
 def of_peak(p, ask, times, step_s, mean_s):
     """Groups of a peak: one a title, one a package."""
-    site, room_kb = ask.question.site, rates_of(ask.question.site)
+    site, room_kb = ask.question.site, bandwidth_function(ask.question.site)
     parts = len(p.titles) + len(p.packages)
     everywhere = {b.id for b in ask.question.boxes}
     believed = min(2.0, ask.seen.get(p.name, 1.0))
@@ -218,7 +218,7 @@
         boxes = frozenset(ask.held.get(title, ()) if title in p.titles else everywhere)
         row = site.packages[package]
         rung = max(p.rung, row.floor)
-        viewings = [p.watch_at(s + step_s) / parts * believed for s in times]
+        viewings = [p.viewings_at(s + step_s) / parts * believed for s in times]
         most = max(viewings, default=0.0)
         each = room_kb(package, p.rung, most, max(1, len(boxes))) / most if most else 0.0
         yield Group(
@@ -263,7 +263,7 @@
         link = boxes[b].link_kb * warmed(boxes[b], rules, times[t] - ask.now_s)[0]
         made.row(pairs, BRIM * link)
         if (b, t) in peaks_at:
-            made.row(peaks_at[b, t], MOST * link)
+            made.row(peaks_at[b, t], MAX_RESERVED_SHARE * link)
     for (rack, t), pairs in at_rack.items():
         made.row(pairs, BRIM * question.uplinks.get(str(rack), question.site.fleet.uplink_kb))
     return made
@@ -373,7 +373,7 @@
         chosen.append(key)
         need -= use[key]
     mean = sum(b.link_kb for b in ask.question.boxes) / len(ask.question.boxes)
-    more = math.ceil(still / (MOST * mean)) if still > 0.01 * gap + 1 else 0
+    more = math.ceil(still / (MAX_RESERVED_SHARE * mean)) if still > 0.01 * gap + 1 else 0
     return Short(p.name, times[worst], gap, gap / max(each, 1e-9), chosen, still if more else 0.0, more)
 
 
@@ -415,7 +415,7 @@
         )
     for s in plan.short:
         yield (
-            f"{s.peak}: does not fit: {s.kb:.0f} kB/s ({s.viewings:.0f} viewings) find no room at {say_time(s.at_s)}"
+            f"{s.peak}: does not fit: {s.kb:.0f} kB/s ({s.viewings:.0f} viewings) find no room at {format_time(s.at_s)}"
         )
         if s.holders:
             yield (
@@ -427,11 +427,11 @@
             yield f"  {s.still_kb:.0f} kB/s find none even then: {s.boxes} more boxes of the mean link would carry them"
     for w in plan.warm:
         yield (
-            f"box {w.box}: {'start it' if w.spare else 'cold; started'} by {say_time(w.by_s)}, at most "
+            f"box {w.box}: {'start it' if w.spare else 'cold; started'} by {format_time(w.by_s)}, at most "
             f"{w.pace:g} set-ups a second while it warms"
         )
     if plan.steps_down_s is not None:
         yield (
             f"ordinary viewings get up to {plan.steps_down_kb:.0f} kB/s less than they ask "
-            f"from {say_time(plan.steps_down_s)}"
+            f"from {format_time(plan.steps_down_s)}"
         )
--- a/flaxscale/peaks/times.py
+++ b/flaxscale/peaks/times.py
@@ -11,7 +11,7 @@
 UNITS = {"s": 1.0, "m": 60.0, "h": 3600.0, "d": 86_400.0}
 
 
-def read_time(text, now_s):
+def parse_time(text, now_s):
     """Unix seconds. '2026-12-05T18:00:00+03:00', or '+90s', '+15m', '+2h', '+1d' from now. ValueError otherwise."""
     if match := SPAN.fullmatch(text.strip()):
         return now_s + float(match[1]) * UNITS[match[2]]
@@ -24,12 +24,12 @@
     return time.timestamp()
 
 
-def say_time(s):
+def format_time(s):
     return datetime.datetime.fromtimestamp(s, datetime.timezone.utc).strftime("%Y-%m-%dT%H:%M:%SZ")
 
 
 class PeakRow(msgspec.Struct, forbid_unknown_fields=True):
-    """An announcement in a file. start, end: times as read_time takes them, with an offset."""
+    """An announcement in a file. start, end: times as parse_time takes them, with an offset."""
 
     name: str
     start: str
@@ -47,8 +47,8 @@
         return Announcement(
             self.name,
             self.titles,
-            read_time(self.start, now_s),
-            read_time(self.end, now_s),
+            parse_time(self.start, now_s),
+            parse_time(self.end, now_s),
             self.rate,
             self.ramp_s,
             self.length_s,
--- a/tests/test_peaks.py
+++ b/tests/test_peaks.py
@@ -5,7 +5,13 @@
 from flaxscale import interface
 from flaxscale.interface import Outcome, ServerStatus
 from flaxscale.peaks.announce import Announcement, faults
-from flaxscale.peaks.keeper import GRACE, HALF, MOST, RoomKeeper, Surroundings
+from flaxscale.peaks.keeper import (
+    MAX_RESERVED_SHARE,
+    SHORTFALL_HALF_LIFE_S,
+    START_GRACE_S,
+    PeakEnvironment,
+    PeakReserver,
+)
 from tests.drive import Drive, S, pack
 
 
@@ -17,8 +23,8 @@
 class Keeping(unittest.TestCase):
     def keeper(self, *peaks, holders=(1, 2, 3, 4)):
         self.boxes = list(holders)
-        fleet = Surroundings(lambda title, rung, n, boxes: 100.0 * n, lambda title: self.boxes, 2, 1e9)
-        return RoomKeeper(peaks or (peak(),), fleet)
+        fleet = PeakEnvironment(lambda title, rung, n, boxes: 100.0 * n, lambda title: self.boxes, 2, 1e9)
+        return PeakReserver(peaks or (peak(),), fleet)
 
     def servers(self, *gone):
         return {
@@ -30,15 +36,15 @@
         }
 
     def kb(self, keeper, s, *gone):
-        return sum(keeper.rooms(s, self.servers(*gone))[0].values())
+        return sum(keeper.reserve(s, self.servers(*gone))[0].values())
 
     def crowd(self, keeper, times=1.0, shift=0.0, until=200):
         """What is kept each second while a crowd of this size comes so much later than announced."""
         out, p = {}, keeper.peaks[0]
         for s in range(80, until):
-            due = p.come_by(s - shift) * times
-            while keeper.come[p.name] + 0.5 <= due:
-                keeper.asked("cam", "live", 1)
+            due = p.arrivals_by(s - shift) * times
+            while keeper.arrivals[p.name] + 0.5 <= due:
+                keeper.record_request("cam", "live", 1)
             out[s] = self.kb(keeper, s)
         return out
 
@@ -62,21 +68,21 @@
         p = peak()
         for s in (99, 100, 104, 110, 130, 160, 200):
             by_steps = sum(p.rate_at(x / 100) / 100 for x in range(9_000, s * 100))
-            self.assertAlmostEqual(by_steps, p.come_by(s), delta=0.05)
+            self.assertAlmostEqual(by_steps, p.arrivals_by(s), delta=0.05)
 
     def test_room_is_ready_before_the_start_and_gone_at_the_end(self):
         kept = self.crowd(self.keeper())
         self.assertEqual(0, kept[int(100 - 15) - 1])
-        self.assertAlmostEqual(100 * peak().come_by(99 + 15), kept[99], delta=1)  # who will watch by then
+        self.assertAlmostEqual(100 * peak().arrivals_by(99 + 15), kept[99], delta=1)  # who will watch by then
         self.assertAlmostEqual(2.0 * 20 * 100, kept[130], delta=150)  # 40 viewings of 100 kB a second
         self.assertEqual(0, kept[160])
 
     def test_what_does_not_come_is_handed_back_along_its_curve(self):
         none, half = self.crowd(self.keeper(), 0.0), self.crowd(self.keeper(), 0.5)
         at = next(s for s in range(101, 160) if none[s] < none[s - 1] - 1)
-        self.assertLess(at, 100 + GRACE + 12)
-        self.assertAlmostEqual(0.5, none[at + int(HALF)] / none[at], delta=0.15)
-        self.assertLess(none[at + int(4 * HALF)], 0.12 * none[at])
+        self.assertLess(at, 100 + START_GRACE_S + 12)
+        self.assertAlmostEqual(0.5, none[at + int(SHORTFALL_HALF_LIFE_S)] / none[at], delta=0.15)
+        self.assertLess(none[at + int(4 * SHORTFALL_HALF_LIFE_S)], 0.12 * none[at])
         self.assertGreater(half[140], 0.45 * self.crowd(self.keeper())[140])
 
     def test_a_crowd_that_is_late_finds_room_that_comes_back_as_it_comes(self):
@@ -85,20 +91,20 @@
 
     def test_room_moves_off_boxes_that_die_and_what_cannot_be_kept_is_said(self):
         keeper = self.keeper(peak(rate=8.0))
-        before, _, _ = keeper.rooms(130, self.servers())
-        after, _, _ = keeper.rooms(130, self.servers(1))
+        before, _, _ = keeper.reserve(130, self.servers())
+        after, _, _ = keeper.reserve(130, self.servers(1))
         self.assertNotIn(1, after)
         self.assertAlmostEqual(sum(before.values()), sum(after.values()), delta=1)
-        keeper.rooms(130, self.servers(1, 2, 3))
-        self.assertGreater(keeper.given_up, 0)
-        self.assertLessEqual(max(keeper.rooms(130, self.servers(1, 2, 3))[0].values()), MOST * 10_000)
+        keeper.reserve(130, self.servers(1, 2, 3))
+        self.assertGreater(keeper.unplaced_kb, 0)
+        self.assertLessEqual(max(keeper.reserve(130, self.servers(1, 2, 3))[0].values()), MAX_RESERVED_SHARE * 10_000)
         self.assertEqual(0, self.kb(keeper, 130, 1, 2, 3, 4))
 
     def test_two_peaks_that_want_the_same_room_share_its_bound(self):
         keeper = self.keeper(peak(rate=30.0), peak(name="two", rate=30.0))
-        rooms, _, _ = keeper.rooms(130, self.servers())
-        self.assertLessEqual(max(rooms.values()), MOST * 10_000 + 1)
-        self.assertGreater(keeper.given_up, 0)
+        rooms, _, _ = keeper.reserve(130, self.servers())
+        self.assertLessEqual(max(rooms.values()), MAX_RESERVED_SHARE * 10_000 + 1)
+        self.assertGreater(keeper.unplaced_kb, 0)
 
 
 class Decided(Drive):
--- a/tests/test_peaks_plan.py
+++ b/tests/test_peaks_plan.py
@@ -12,7 +12,7 @@
 from flaxscale.model.play import Play
 from flaxscale.peaks.announce import Announcement
 from flaxscale.peaks.lengths import fit
-from flaxscale.peaks.plan import Ask, BoxAsked, Question, plan_peaks
+from flaxscale.peaks.plan import BoxInput, PlanRequest, Question, plan_peaks
 from flaxscale.site.load import SiteError
 from tests.test_model import EXAMPLES, bad_day
 
@@ -103,11 +103,11 @@
 class Planning(unittest.TestCase):
     def ask(self, boxes=None, peaks=None, demand=None, lengths=(), held=None, seen=None):
         day = bad_day()
-        boxes = boxes or [BoxAsked(n, 6000.0, n % 3, 36) for n in range(1, 7)]
+        boxes = boxes or [BoxInput(n, 6000.0, n % 3, 36) for n in range(1, 7)]
         held = held or {"quay-cam": {1, 2, 3, 4}, "tour-1": {1, 2}, "clip-1": {4, 5, 6}}
         package = {"quay-cam": "dock-live", "tour-1": "boat-tour", "clip-1": "route-clip"}
         peaks = peaks or [Announcement("eid", ("quay-cam",), 100.0, 160.0, 2.0, length_s=20.0, rung=2)]
-        return Ask(
+        return PlanRequest(
             Question(day.site, boxes, demand or {"tour-1": 3000.0, "clip-1": 3000.0}, list(lengths)),
             tuple(peaks),
             held,
@@ -150,7 +150,7 @@
             for name, title in (("a", "quay-cam"), ("b", "lock-cam"))
         ]
         ask = self.ask(
-            boxes=[BoxAsked(n, 20_000.0, 0, 90) for n in (1, 2)],
+            boxes=[BoxInput(n, 20_000.0, 0, 90) for n in (1, 2)],
             peaks=two,
             held={"quay-cam": {1}, "lock-cam": {2}},
             demand={"none": 1.0},
@@ -161,7 +161,7 @@
         self.assertLessEqual(self.at(plan, "a", 140.0) + self.at(plan, "b", 140.0), 1.1 * site.fleet.uplink_kb)
 
     def test_a_spare_box_is_started_in_time_and_kept_to_its_pace(self):
-        boxes = [BoxAsked(1, 2500.0, 0, 36), BoxAsked(2, 6000.0, 1, 36, spare=True)]
+        boxes = [BoxInput(1, 2500.0, 0, 36), BoxInput(2, 6000.0, 1, 36, spare=True)]
         plan = plan_peaks(self.ask(boxes=boxes, held={"quay-cam": {1, 2}}, demand={"none": 1.0}))
         [warm] = plan.warm
         self.assertEqual((2, True), (warm.box, warm.spare))
@@ -227,7 +227,7 @@
         play.run()
         keeper = play.managers[1].keeper.keeper
         self.assertGreater(keeper.since, 46)
-        self.assertGreater(keeper.believed(day.peaks[0], 62.0), 0.6)
+        self.assertGreater(keeper.confidence(day.peaks[0], 62.0), 0.6)
         self.assertEqual([], play.faults)
 
     def test_a_cold_fleet_just_before_is_not_pushed_over(self):
--- a/tests/test_peaks_service.py
+++ b/tests/test_peaks_service.py
@@ -19,7 +19,7 @@
 from flaxscale.peaks.announce import Announcement, BoxRoom
 from flaxscale.peaks.axis import Axis
 from flaxscale.peaks.book import KEEP_ENDED_S, Follower, Frame, PeakBook, Refused, decode, encode
-from flaxscale.peaks.times import read_time, say_time
+from flaxscale.peaks.times import format_time, parse_time
 from flaxscale.proto import peaks_pb2 as pb
 from flaxscale.proto import peaks_pb2_grpc as pb_grpc
 from flaxscale.store.faulty import Crash, FaultyFiles
@@ -116,7 +116,7 @@
     def test_any_delivery_leaves_the_newest_of_the_service_last_heard(self, told):
         follower, newest = Follower(), {}
         for epoch, version in told:
-            moved = follower.take(epoch, version, [peak(f"{epoch}{version}")])
+            moved = follower.apply(epoch, version, [peak(f"{epoch}{version}")])
             if moved:
                 newest = {epoch: version}
             self.assertEqual(newest.get(follower.epoch), follower.version)
@@ -124,9 +124,9 @@
 
     def test_a_version_that_does_not_fit_is_refused_and_the_last_good_one_kept(self):
         follower = Follower(lambda peaks: [(p.name, "no such rung") for p in peaks if p.rung > 3])
-        follower.take("e", 1, [peak()])
+        follower.apply("e", 1, [peak()])
         with self.assertRaisesRegex(ValueError, "eid: no such rung"):
-            follower.take("e", 2, [peak(rung=4)])
+            follower.apply("e", 2, [peak(rung=4)])
         self.assertEqual((1, 1), (follower.version, follower.peaks[0].rung))
 
     def test_kept_bytes_that_are_not_ours_are_refused(self):
@@ -156,19 +156,19 @@
         axis = Axis()
         self.assertEqual(1000.0, axis.at(10.0, 1000.0))  # nothing heard: this machine's own
         self.assertEqual(1005.0, axis.at(15.0, 99.0))  # its wall clock jumped an hour back: nothing moves
-        axis.hear(1009.5, 16.0)  # the service reads 3.5 s more
-        axis.hear(1010.0, 17.5)  # told a second late
+        axis.add_reading(1009.5, 16.0)  # the service reads 3.5 s more
+        axis.add_reading(1010.0, 17.5)  # told a second late
         self.assertEqual(1013.5, axis.at(20.0, 0.0))
-        axis.hear(4610.0, 18.0)  # the service's clock was set an hour on
+        axis.add_reading(4610.0, 18.0)  # the service's clock was set an hour on
         self.assertEqual(4612.0, axis.at(20.0, 0.0))
 
     def test_times_as_people_write_them(self):
-        self.assertEqual(0.0, read_time("1970-01-01T03:00:00+03:00", 9.0))
-        self.assertEqual(99.0, read_time("+1.5m", 9.0))
-        self.assertEqual("2026-12-05T15:00:00Z", say_time(read_time("2026-12-05T18:00:00+03:00", 0.0)))
+        self.assertEqual(0.0, parse_time("1970-01-01T03:00:00+03:00", 9.0))
+        self.assertEqual(99.0, parse_time("+1.5m", 9.0))
+        self.assertEqual("2026-12-05T15:00:00Z", format_time(parse_time("2026-12-05T18:00:00+03:00", 0.0)))
         for text, said in (("tomorrow", "is no time"), ("2026-12-05T18:00:00", "no offset")):
             with self.assertRaisesRegex(ValueError, said):
-                read_time(text, 0.0)
+                parse_time(text, 0.0)
 
 
 class Sockets(Rig):
@@ -350,8 +350,8 @@
             {
                 "name": "eid",
                 "titles": ["cam"],
-                "start": say_time(now_s - 5),
-                "end": say_time(now_s + 60),
+                "start": format_time(now_s - 5),
+                "end": format_time(now_s + 60),
                 "rate": 2,
                 "rung": 1,
             }
