--- a/flaxscale/jsonl/__init__.py
+++ b/flaxscale/jsonl/__init__.py
@@ -1,1 +1,1 @@
-"""JSON lines of the operators' platform, without I/O: bytes to messages or a named fault, and back."""
+"""The JSON lines protocol of the operators' platform, without I/O: decodes, validates and encodes messages."""
--- a/flaxscale/jsonl/lines.py
+++ b/flaxscale/jsonl/lines.py
@@ -1,10 +1,10 @@
-"""Bytes to whole lines, however they are cut, with a bound on what is kept of an unfinished one."""
+"""Splits a byte stream into lines and limits the length of a line."""
 
-MAX_LINE_BYTES = 16 * 1024  # the platform's bound on a message
+MAX_LINE_BYTES = 16 * 1024  # the platform's limit for one message
 
 
 class LineBuffer:
-    """feed() gives the lines that are whole; after `error` nothing further is to be read from there."""
+    """Buffers an incomplete line between reads. Once `error` is set, the stream must not be read any further."""
 
     __slots__ = "partial", "max_line_bytes", "error"
 
@@ -13,15 +13,16 @@
         self.error: str | None = None
 
     def feed(self, data: bytes) -> list[bytes]:
+        """Returns the lines that these bytes complete, without line ends; none once `error` is set."""
         if self.error:
             return []
-        *whole, rest = (self.partial + data if self.partial else data).split(b"\n")
-        good = []
-        for line in whole:
+        *complete, partial = (self.partial + data if self.partial else data).split(b"\n")
+        accepted = []
+        for line in complete:
             if len(line) > self.max_line_bytes:
                 break
-            good.append(line)
-        if len(good) < len(whole) or len(rest) > self.max_line_bytes:
-            self.error, rest = f"a line of over {self.max_line_bytes} bytes", b""
-        self.partial = rest
-        return good
+            accepted.append(line)
+        if len(accepted) < len(complete) or len(partial) > self.max_line_bytes:
+            self.error, partial = f"line longer than {self.max_line_bytes} bytes", b""
+        self.partial = partial
+        return accepted
--- a/tests/test_jsonl.py
+++ b/tests/test_jsonl.py
@@ -1,4 +1,4 @@
-"""Lines and messages of the platform without a socket: cut anywhere, and nothing impossible gets through."""
+"""Line splitting and message validation of the platform's protocol, without sockets."""
 
 import json
 import unittest
@@ -27,12 +27,12 @@
     ).encode()
 
 
-def set_up(*args, **fields):
+def parse_offer(*args, **fields):
     return messages.parse_offer(messages.decode(offer(*args, **fields)), PACKAGES)
 
 
-class Cut(unittest.TestCase):
-    def test_cut_at_each_offset_the_same_lines_come(self):
+class LineBufferTest(unittest.TestCase):
+    def test_split_at_any_offset_gives_the_same_lines(self):
         text = b'{"op":"test"}\n\n' + offer() + b"\n" + b"x" * 40 + b"\nrest"
         whole = LineBuffer().feed(text)
         self.assertEqual(4, len(whole))
@@ -41,8 +41,8 @@
             self.assertEqual(whole, lines.feed(text[:at]) + lines.feed(text[at:]))
             self.assertEqual((b"rest", None), (lines.partial, lines.error))
 
-    def test_a_line_without_end_is_a_fault_and_is_not_kept(self):
-        # An answer that claims 3 GB and keeps coming, or a viewer's 60 MB: no more than a message's bound is held.
+    def test_an_overlong_line_without_end_is_an_error_and_is_not_buffered(self):
+        # A server may send 3 GB without a line end, a viewer 60 MB: no more than one message is buffered.
         lines = LineBuffer()
         self.assertEqual([b"good"], lines.feed(b"good\n" + b"x" * MAX_LINE_BYTES))
         self.assertIsNone(lines.error)
@@ -50,13 +50,13 @@
         self.assertIn(str(MAX_LINE_BYTES), lines.error)
         self.assertEqual((b"", []), (lines.partial, lines.feed(b"\ngood\n")))
 
-    def test_what_came_whole_before_a_line_too_long_still_counts(self):
+    def test_lines_before_an_overlong_line_are_returned(self):
         lines = LineBuffer()
         self.assertEqual([b"good"], lines.feed(b"good\n" + b"x" * (MAX_LINE_BYTES + 1) + b"\nlater\n"))
         self.assertTrue(lines.error)
 
 
-class Read(unittest.TestCase):
+class DecodeTest(unittest.TestCase):
     @settings(max_examples=300, deadline=None)
     @given(
         st.one_of(
@@ -73,14 +73,14 @@
             ).map(lambda value: json.dumps(value).encode()),
         )
     )
-    def test_whatever_comes_is_a_message_or_a_named_fault(self, line):
+    def test_any_input_is_a_message_or_a_message_error(self, line):
         try:
             self.assertIsInstance(messages.parse_offer(messages.decode(line), PACKAGES), messages.SetupRequest)
-        except MessageError as bad:
-            self.assertTrue(str(bad))
+        except MessageError as error:
+            self.assertTrue(str(error))
 
-    def test_a_set_up_as_the_platform_writes_it(self):
-        found = set_up()
+    def test_an_offer_of_the_platform_is_parsed(self):
+        found = parse_offer()
         self.assertEqual(
             (0x9B1F03AA5C7E2D41, "clip", 1500, 0x7F3A9C21E0B4D655, 4, 3, 2, 0xB4D65521, None, False, DESC),
             (
@@ -97,14 +97,14 @@
                 found.desc,
             ),
         )
-        self.assertTrue(set_up(extras=EXTRAS + ";again:1").is_retry)
+        self.assertTrue(parse_offer(extras=EXTRAS + ";again:1").is_retry)
 
-    def test_what_plays_already_needs_no_patience(self):
-        # The first calm day on sockets refused each of these: its left is no number.
+    def test_a_session_that_already_plays_needs_no_remaining_time(self):
+        # Session hand-overs carry no usable `left`; each of these was once refused because of it.
         for left in (None, "", "0", "-1"):
-            self.assertEqual(0x00C41F7A, set_up(left=left, extras=EXTRAS + ";at:s-00c41f7a").playing_at)
+            self.assertEqual(0x00C41F7A, parse_offer(left=left, extras=EXTRAS + ";at:s-00c41f7a").playing_at)
 
-    def test_what_cannot_be_meant_is_refused_by_name(self):
+    def test_an_invalid_field_is_refused_by_name(self):
         for named, line in (
             ("call", offer(call="")),
             ("call", offer(call="9B1F03AA5C7E2D4")),
@@ -140,7 +140,7 @@
             with self.subTest(line=line), self.assertRaisesRegex(MessageError, f"^{named}"):
                 messages.parse_offer(messages.decode(line), PACKAGES)
 
-    def test_a_figure_that_is_no_number_is_none_of_ours(self):
+    def test_malformed_messages_are_refused(self):
         for line in (
             b'{"op":"end","call":"x","why":"34"}',
             b'{"op":"end","why":1e999}',
@@ -154,7 +154,7 @@
             with self.subTest(line=line), self.assertRaises(MessageError):
                 messages.decode(line)
 
-    def test_load_reports_fit_or_are_none(self):
+    def test_an_incomplete_load_report_is_ignored(self):
         def load(text):
             message = messages.decode(json.dumps({"op": "end", "with": {"load": text}}).encode())
             return messages.parse_load(message, ("x0", "x1"))
@@ -163,8 +163,8 @@
         self.assertEqual([()] * 4, [load(text) for text in ("x0:12", "x0:12;x1:", "x0", 5)])
 
 
-class Written(unittest.TestCase):
-    def test_a_line_holds_what_the_platform_names(self):
+class EncodeTest(unittest.TestCase):
+    def test_encoded_lines_have_the_platforms_field_names(self):
         self.assertEqual(
             b'{"op":"end","call":"a","with":{"wait":250},"why":34}\n',
             messages.encode("end", "a", {"wait": 250}, messages.CAUSE_NO_CAPACITY),
