--- a/flaxscale/serve/__init__.py
+++ b/flaxscale/serve/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: asyncio protocol classes for HTTP, thin shells over http1/."""
+"""HTTP over sockets: asyncio protocol classes around the parsers of http1/."""
--- a/flaxscale/serve/limit.py
+++ b/flaxscale/serve/limit.py
@@ -1,13 +1,13 @@
-"""Waiting for something, but not for ever."""
+"""Awaiting with a time limit."""
 
 import asyncio
 
 
-async def within(seconds, what):
-    """What an awaitable gives, TimeoutError once it took longer.
+async def within(seconds, awaitable):
+    """The result of an awaitable; raises TimeoutError if it takes longer than this many seconds.
 
-    In place of asyncio.wait_for, which up to Python 3.11 loses a cancel that comes as its future is done
-    (python/cpython issue 86296): whoever was cancelled goes on, and a limit around it never ends it.
+    Replaces asyncio.wait_for, which up to Python 3.11 loses a cancellation that arrives as its future completes
+    (python/cpython issue 86296): the cancelled task then continues, and a time limit around it never ends it.
     """
     async with asyncio.timeout(seconds):
-        return await what
+        return await awaitable
--- a/flaxscale/serve/server.py
+++ b/flaxscale/serve/server.py
@@ -1,7 +1,7 @@
-"""The HTTP server's shell: one protocol object a connection, one exchange a request, no task anywhere.
+"""HTTP server: one protocol object for each connection, one Exchange for each request, and no tasks.
 
-Requests of one connection are answered in order, the next is handed over when the last was answered; those that
-came meanwhile wait, and past a few reading stops. A client that closes is told to whoever works on its request.
+Pipelined requests of a connection are handled one at a time and answered in order. Further requests wait, and reading
+pauses when MAX_PIPELINED wait. If the client closes, the handler of its request is notified by on_disconnect().
 """
 
 import asyncio
@@ -13,24 +13,24 @@
 from ..http1.server import ContinueExpected, Limits, Refused, ServerSide, chunk, response, stream_head
 from .clock import http_date, now
 
-WAITING = 8  # requests read ahead on one connection
-STREAM_BACKLOG = 1 << 20  # a stream whose reader is further behind is cut
-# After a refusal, input is read and discarded for so long and up to so many bytes.
-LINGER = 20_000  # tenths of a millisecond
-LINGER_BYTES = 4 << 20
-GONE = 7, 8  # TCP_INFO's first byte: closed, and closed by the other side (tcp_states.h)
+MAX_PIPELINED = 8  # requests that wait on one connection before reading pauses
+MAX_STREAM_BACKLOG = 1 << 20  # unsent bytes; a stream whose client reads more slowly is aborted
+# After a refusal, input is read and discarded up to these limits; see Connection.linger().
+LINGER_TIMEOUT = 20_000  # tenths of a millisecond
+MAX_LINGER_BYTES = 4 << 20
+CLOSED_TCP_STATES = 7, 8  # first byte of TCP_INFO: TCP_CLOSE and TCP_CLOSE_WAIT (tcp_states.h)
 
 
 class Timeouts(NamedTuple):
-    """Spans in tenths of a millisecond."""
+    """Time-outs for receiving, in tenths of a millisecond; ServerSide.phase names the one that applies."""
 
     head: int = 50_000  # from a request's first byte to the end of its header
-    body: int = 100_000  # and from there to the end of its body
+    body: int = 100_000  # from the end of the header to the end of the body
     idle: int = 750_000  # between requests
 
 
 class Exchange:
-    """One request and its one answer. on_disconnect() is called if the client closes before the answer."""
+    """One request and its answer. on_disconnect() is called if the client closes before the answer is complete."""
 
     __slots__ = "connection", "request", "arrived", "answered", "on_disconnect", "streams"
 
@@ -39,6 +39,7 @@
         self.answered, self.on_disconnect, self.streams = False, None, False
 
     def respond(self, status, headers=(), body=b""):
+        """Sends the answer; returns False if one was sent already."""
         if self.answered:
             return False
         self.answered = True
@@ -46,48 +47,52 @@
         return True
 
     def refuse(self, status, title, detail="", headers=(), **more):
+        """Answers with problem details (RFC 9457)."""
         body = problem.problem(status, title, detail, **more)
         return self.respond(status, [("Content-Type", problem.MEDIA_TYPE), *headers], body)
 
     def stream(self, headers):
-        """Begins an answer without end; then send() until the client goes or end()."""
+        """Starts a chunked answer, to be continued with send() until end() or until the client closes."""
         self.answered = self.streams = True
         self.connection.write(stream_head(headers, self.connection.server.date()))
 
     def send(self, data):
+        """Sends one chunk of a streamed answer."""
         if self.streams:
             self.connection.write(chunk(data))
-            if self.connection.behind() > STREAM_BACKLOG:
+            if self.connection.unsent_bytes() > MAX_STREAM_BACKLOG:
                 self.connection.abort()
 
     def end(self):
+        """Ends a streamed answer and closes the connection."""
         if self.streams:
             self.streams = False
             self.connection.write(b"0\r\n\r\n")
             self.connection.finish(False)
 
     def abort(self):
-        """Ends the connection without a word, as a server does that dies."""
+        """Drops the connection without an answer, as a crashing server would."""
         self.answered = True
         self.connection.abort()
 
 
 class Connection(asyncio.Protocol):
-    """One connection."""
+    """One connection of a client."""
 
     def __init__(self, server):
-        self.server, self.side = server, ServerSide(server.limits)
+        self.server, self.parser = server, ServerSide(server.limits)
         self.transport, self.current, self.waiting = None, None, deque()
-        self.full = self.paused = self.closing = False
-        self.unread = True  # nothing was read on it yet
-        self.lingers = 0  # bytes still read for nothing after a refusal
+        self.write_paused = self.read_paused = self.closing = False
+        self.unread = True  # no byte was read from it yet
+        self.linger_bytes = 0  # after a refusal: how many more bytes are read and discarded
         self.deadline, self.phase = None, None
 
     def connection_made(self, transport):
         self.transport = transport
         if (
             self.server.drop_disconnected()
-            and transport.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] in GONE
+            and transport.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0]
+            in CLOSED_TCP_STATES
         ):
             self.server.closed_before_read += 1
             self.abort()
@@ -110,14 +115,14 @@
 
     def data_received(self, data):
         if self.closing:
-            if self.lingers:
-                self.lingers -= min(self.lingers, len(data))
-                if not self.lingers:
+            if self.linger_bytes:
+                self.linger_bytes -= min(self.linger_bytes, len(data))
+                if not self.linger_bytes:
                     self.transport.close()
             return
         self.server.tap(self, data)
         self.unread = False
-        for event in self.side.feed(data):
+        for event in self.parser.feed(data):
             if isinstance(event, ContinueExpected):
                 if self.current is None and not self.waiting:
                     self.write(response(100))
@@ -126,17 +131,17 @@
             else:
                 self.waiting.append(Exchange(self, event, now()))
         if self.current is None:
-            self.next()
-        phase = self.side.phase
+            self.handle_next()
+        phase = self.parser.phase
         if phase != self.phase:
             self.set_deadline(phase)
-        if len(self.waiting) >= WAITING and not self.paused:
-            self.paused = True
+        if len(self.waiting) >= MAX_PIPELINED and not self.read_paused:
+            self.read_paused = True
             self.transport.pause_reading()
 
-    def next(self):
-        """Hands over the request that waits longest."""
-        while self.waiting and self.current is None and not self.full and not self.closing:
+    def handle_next(self):
+        """Passes the longest-waiting request to the handler."""
+        while self.waiting and self.current is None and not self.write_paused and not self.closing:
             first = self.waiting.popleft()
             if isinstance(first, Refused):
                 self.server.rejected_requests += 1
@@ -153,8 +158,8 @@
                 return
             self.current = first
             self.server.handle(first)
-        if self.paused and len(self.waiting) < WAITING and not self.closing:
-            self.paused = False
+        if self.read_paused and len(self.waiting) < MAX_PIPELINED and not self.closing:
+            self.read_paused = False
             self.transport.resume_reading()
 
     def respond(self, exchange, status, headers, body):
@@ -167,15 +172,15 @@
         if not keep:
             self.close()
             return
-        self.set_deadline(self.side.phase)
-        if self.waiting:  # not from within the handler of the last one: a pipeline must not recurse
-            self.server.loop.call_soon(self.next)
+        self.set_deadline(self.parser.phase)
+        if self.waiting:  # not from within the handler of the previous request: pipelined requests must not recurse
+            self.server.loop.call_soon(self.handle_next)
 
     def write(self, data):
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
-    def behind(self):
+    def unsent_bytes(self):
         return self.transport.get_write_buffer_size() if self.transport else 0
 
     def close(self):
@@ -183,13 +188,16 @@
         self.transport.close()
 
     def linger(self):
-        """Closes our side and reads on for a while: closed with bytes unread, TCP would take the refusal back with a
-        reset (RFC 9112, 9.6). The client's own close, the bytes or the time end it."""
-        self.closing, self.lingers = True, LINGER_BYTES
+        """Closes the sending side after a refusal, then reads and discards input for a while.
+
+        If the socket were closed with unread input, TCP would send a reset and the client could lose the refusal
+        (RFC 9112, 9.6). Lingering ends when the client closes, MAX_LINGER_BYTES were read or LINGER_TIMEOUT passed.
+        """
+        self.closing, self.linger_bytes = True, MAX_LINGER_BYTES
         self.waiting.clear()
-        self.deadline = now() + LINGER
-        if self.paused:
-            self.paused = False
+        self.deadline = now() + LINGER_TIMEOUT
+        if self.read_paused:
+            self.read_paused = False
             self.transport.resume_reading()
         if not self.transport.is_closing():
             self.transport.write_eof()
@@ -203,11 +211,11 @@
         self.phase = phase
         self.deadline = now() + getattr(self.server.times, phase)
 
-    def late(self, time):
-        """Called now and then; what is being answered is bounded by its patience, not here."""
+    def check_deadline(self, time):
+        """Closes the connection if its deadline has passed; requests in progress have time limits of their own."""
         if self.current is not None or self.waiting or self.deadline is None or time < self.deadline:
             return
-        if self.lingers or self.closing:
+        if self.linger_bytes or self.closing:
             self.transport.close()
             return
         if self.phase != "idle":
@@ -226,28 +234,28 @@
         self.close()
 
     def eof_received(self):
-        # A client that closes its side is gone: one that only half closes and still waits can't be told from it.
+        # Treated as a disconnect: a half-closed client that still waits can't be distinguished from one that is gone.
         return False
 
     def connection_lost(self, error):
         self.closing = True
         self.server.connections.discard(self)
-        gone, self.current = self.current, None
+        exchange, self.current = self.current, None
         self.waiting.clear()
-        if gone is not None and gone.on_disconnect is not None and (not gone.answered or gone.streams):
-            gone.streams = False
-            gone.on_disconnect()
+        if exchange is not None and exchange.on_disconnect is not None and (not exchange.answered or exchange.streams):
+            exchange.streams = False
+            exchange.on_disconnect()
 
     def pause_writing(self):
-        self.full = True
+        self.write_paused = True
 
     def resume_writing(self):
-        self.full = False
-        self.next()
+        self.write_paused = False
+        self.handle_next()
 
 
 class Server:
-    """Listens, and hands each request to handle(exchange)."""
+    """Listens on one address and passes each request to handle(exchange)."""
 
     def __init__(
         self,
@@ -258,48 +266,52 @@
         tap=None,
         drop_disconnected=lambda: False,
     ):
-        """tap(connection, data) sees all bytes that come in.
+        """tap(connection, data) is called with all received bytes.
 
-        drop_disconnected(): who is let in now may have waited long at the door. Then a client that closed meanwhile is
-        dropped unread: after a standstill most of those that wait have gone, and they stand before who still waits.
+        drop_disconnected() is true while accepted connections may have waited long in the accept queue. Clients that
+        closed meanwhile are then dropped unread: after a stall they are most of the queue, and ahead of clients that
+        still wait.
         """
         self.handle, self.limits, self.times, self.max_connections = handle, limits, times, max_connections
         self.tap, self.drop_disconnected = tap or (lambda connection, data: None), drop_disconnected
         self.connections, self.listener, self.sweeper, self.loop = set(), None, None, None
         self.rejected_connections = self.rejected_requests = self.request_timeouts = self.closed_before_read = 0
-        self.stopping, self.dated = False, (0, "")
+        self.stopping, self.cached_date = False, (0, "")
 
     def date(self):
-        """The Date field's value, made once a second."""
+        """The value of the Date field, computed once a second."""
         second = now() // 10_000
-        if self.dated[0] != second:
-            self.dated = second, http_date()
-        return self.dated[1]
+        if self.cached_date[0] != second:
+            self.cached_date = second, http_date()
+        return self.cached_date[1]
 
     async def listen(self, host, port, backlog=4096):
-        """Returns the (host, port) that it listens on."""
+        """Starts listening; returns the actual (host, port)."""
         self.loop = asyncio.get_running_loop()
         self.listener = await self.loop.create_server(lambda: Connection(self), host, port, backlog=backlog)
         self.sweep()
         return self.listener.sockets[0].getsockname()[:2]
 
     def sweep(self):
+        """Checks the deadlines of all connections, four times a second."""
         time = now()
-        for connection in [c for c in self.connections if c.deadline is not None and time >= c.deadline]:
-            connection.late(time)
+        for connection in [one for one in self.connections if one.deadline is not None and time >= one.deadline]:
+            connection.check_deadline(time)
         self.sweeper = self.loop.call_later(0.25, self.sweep)
 
     def abort_all(self):
+        """Drops all connections at once."""
         for connection in list(self.connections):
             connection.abort()
 
     def stop_listening(self):
+        """Accepts no further connections; open ones stay."""
         if self.listener:
             self.listener.close()
             self.listener = None
 
     async def stop(self):
-        """No new connection; what is being answered is the caller's to finish first."""
+        """Stops listening and closes idle connections; the caller lets requests in progress finish before."""
         self.stopping = True
         self.stop_listening()
         if self.sweeper:
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -296,7 +296,7 @@
         self.assertEqual(413, status)
         reader, writer = await asyncio.open_connection(*self.fronts[0].address)
         head = self.post(self.wish(), body=b"").replace(b"Content-Length: 0", b"Content-Length: 999999999")
-        with unittest.mock.patch.object(server, "LINGER_BYTES", 100_000):
+        with unittest.mock.patch.object(server, "MAX_LINGER_BYTES", 100_000):
             writer.write(head)
             self.assertIn(b" 413 ", await reader.readline())
             with self.assertRaises(ConnectionError):
