--- a/flaxscale/http1/__init__.py
+++ b/flaxscale/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 (RFC 9112) without I/O: bytes in, events out. The parsing of the wire itself is httptools'."""
+"""HTTP/1.1 (RFC 9112) without I/O: received bytes in, events out. httptools does the parsing."""
--- a/flaxscale/http1/problem.py
+++ b/flaxscale/http1/problem.py
@@ -6,7 +6,7 @@
 
 
 def problem(status, title, detail="", **more):
-    """The body of a refusal: a title for people, what was wrong with this request, and members of its own."""
+    """The body of an error response: a title, details on this request, and extension members."""
     body = {"type": "about:blank", "title": title, "status": status}
     if detail:
         body["detail"] = detail
--- a/flaxscale/http1/server.py
+++ b/flaxscale/http1/server.py
@@ -1,4 +1,4 @@
-"""The server's side of a connection: bytes in, requests and refusals out (RFC 9112, RFC 9110)."""
+"""Server side of a connection: received bytes in, requests and refusals out (RFC 9112, RFC 9110)."""
 
 from typing import NamedTuple
 
@@ -40,84 +40,88 @@
 
 
 class Limits(NamedTuple):
-    """What one request may be. Bytes and counts."""
+    """Limits for one request, in bytes except for `fields`."""
 
     head: int = 8192  # request line and header fields together
-    fields: int = 64
+    fields: int = 64  # number of header fields
     target: int = 2048
     body: int = 65536
 
 
 class Request(NamedTuple):
+    """A complete request."""
+
     method: str
     target: str  # as sent: path and query
-    headers: dict  # names in lower case; a field that came twice is joined by ", " (RFC 9110, 5.3)
+    headers: dict  # names in lower case; repeated fields are joined by ", " (RFC 9110, 5.3)
     body: bytes
     keep_alive: bool
 
 
 class ContinueExpected(NamedTuple):
-    """The client waits for 100 before it sends its body (RFC 9110, 10.1.1)."""
+    """The client waits for 100 Continue before it sends the body (RFC 9110, 10.1.1)."""
 
 
 class Refused(NamedTuple):
-    """The bytes are no request that we take. The connection can't go on after it."""
+    """The bytes are not an acceptable request. The connection has to be closed after the error response."""
 
     status: int
     detail: str
 
 
-class Stop(Exception):
-    """Ends the parse from within it; never leaves this module."""
+class ParseAborted(Exception):
+    """Raised in a parser callback to stop parsing; never leaves this module."""
 
 
 class ServerSide:
-    """One connection. `phase` is idle, head or body, for whoever sets the time limits."""
+    """Parses the requests of one connection. `phase` is idle, head or body and selects the time-out to apply."""
 
     def __init__(self, limits=Limits()):
-        self.limits, self.phase, self.events, self.fault = limits, "idle", [], None
+        self.limits, self.phase, self.events, self.refusal = limits, "idle", [], None
         self.parser = httptools.HttpRequestParser(self)
-        self.clear()
+        self.reset()
 
-    def clear(self):
+    def reset(self):
         self.url, self.headers, self.body = b"", {}, []
-        self.head = self.raw = self.size = self.fields = 0
+        self.header_bytes = self.received = self.body_bytes = self.field_count = 0
 
     def feed(self, data):
-        """The events that these bytes complete, in order. After a Refused nothing more comes."""
-        if self.fault:
+        """The events that these bytes complete, in order; none after a Refused."""
+        if self.refusal:
             return []
         if self.phase == "head":
-            self.raw += len(data)  # a head that never ends must not gather in the parser
+            self.received += len(data)  # an endless header must not accumulate in the parser
         try:
             self.parser.feed_data(data)
-            if self.phase == "head" and self.raw > self.limits.head:
+            if self.phase == "head" and self.received > self.limits.head:
                 self.refuse(431, f"the header is over {self.limits.head} bytes")
-        except Stop:
+        except ParseAborted:
             pass
         except httptools.HttpParserUpgrade:
-            # We speak no other protocol: what is complete gets its answer, and the connection ends there.
-            self.fault = Refused(501, "this server upgrades to no other protocol")
+            # Upgrades are not supported: complete requests are answered, then the connection is closed.
+            self.refusal = Refused(501, "this server upgrades to no other protocol")
             self.events = [e._replace(keep_alive=False) if isinstance(e, Request) else e for e in self.events]
             if not self.events:
-                self.events.append(self.fault)
-        except httptools.HttpParserError as bad:
-            if self.fault is None:  # raised in a callback, ours comes wrapped and is noted already
-                self.fault = Refused(400, f"not HTTP/1.1: {str(bad)[:120]}")
-                self.events.append(self.fault)
+                self.events.append(self.refusal)
+        except httptools.HttpParserError as error:
+            # A ParseAborted raised in a callback arrives wrapped in this; its refusal is recorded already.
+            if self.refusal is None:
+                self.refusal = Refused(400, f"not HTTP/1.1: {str(error)[:120]}")
+                self.events.append(self.refusal)
         events, self.events = self.events, []
         return events
 
     def refuse(self, status, detail):
-        self.fault = Refused(status, detail)
-        self.events.append(self.fault)
-        raise Stop
+        """Records a refusal and stops parsing."""
+        self.refusal = Refused(status, detail)
+        self.events.append(self.refusal)
+        raise ParseAborted
 
-    # Called by the parser
+    # Callbacks of the parser
 
     def on_message_begin(self):
         self.phase = "head"
-        self.clear()
+        self.reset()
 
     def on_url(self, url):
         self.url += url
@@ -125,9 +129,9 @@
             self.refuse(414, f"the target is over {self.limits.target} bytes")
 
     def on_header(self, name, value):
-        self.fields += 1
-        self.head += len(name) + len(value) + 4
-        if self.head > self.limits.head or self.fields > self.limits.fields:
+        self.field_count += 1
+        self.header_bytes += len(name) + len(value) + 4
+        if self.header_bytes > self.limits.head or self.field_count > self.limits.fields:
             self.refuse(431, f"the header is over {self.limits.head} bytes or {self.limits.fields} fields")
         name, value = name.decode("latin-1").lower(), value.decode("latin-1").strip()
         self.headers[name] = f"{self.headers[name]}, {value}" if name in self.headers else value
@@ -148,8 +152,8 @@
             self.events.append(ContinueExpected())
 
     def on_body(self, data):
-        self.size += len(data)
-        if self.size > self.limits.body:
+        self.body_bytes += len(data)
+        if self.body_bytes > self.limits.body:
             self.refuse(413, f"the body is over {self.limits.body} bytes")
         self.body.append(data)
 
@@ -167,7 +171,7 @@
 
 
 def response(status, headers=(), body=b"", keep_alive=True, date=None, head_only=False):
-    """The bytes of a response. headers: (name, value) pairs. Statuses without content send no length."""
+    """The bytes of a response. headers: (name, value) pairs. 1xx, 204 and 304 have no Content-Length."""
     lines = [f"HTTP/1.1 {status} {REASONS.get(status, 'Status')}"]
     if date:
         lines.append(f"Date: {date}")
@@ -181,11 +185,12 @@
 
 
 def stream_head(headers=(), date=None):
-    """The head of an answer without end, in chunks (RFC 9112, 7.1)."""
+    """The header of a streamed response with chunked transfer coding (RFC 9112, 7.1)."""
     lines = ["HTTP/1.1 200 OK"] + ([f"Date: {date}"] if date else [])
     lines += [f"{name}: {value}" for name, value in headers] + ["Transfer-Encoding: chunked"]
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
 
 
 def chunk(data):
+    """One chunk of a streamed response."""
     return b"%x\r\n%s\r\n" % (len(data), data)
--- a/flaxscale/http1/sse.py
+++ b/flaxscale/http1/sse.py
@@ -1,37 +1,40 @@
-"""Server-sent events (the HTML standard, 9.2) without I/O: one encoder, one incremental reader."""
+"""Server-sent events (HTML Standard, 9.2) without I/O: an encoder and an incremental parser."""
 
 from typing import NamedTuple
 
 
 class Event(NamedTuple):
+    """One event; `id` is that of the last event that stated one."""
+
     name: str
     data: str
     id: str | None
 
 
 def encode(name, data, id=None):
-    """One event as bytes; data may have several lines."""
+    """One event as bytes; data may contain line breaks."""
     lines = [f"id: {id}"] if id is not None else []
     lines += [f"event: {name}"] + [f"data: {line}" for line in data.split("\n")]
     return ("\n".join(lines) + "\n\n").encode()
 
 
 class Reader:
-    """Bytes in, events out, cut anywhere. A line over the limit ends the stream with a ValueError."""
+    """Parses a stream that may be split anywhere. Raises ValueError for a line longer than limit bytes."""
 
     def __init__(self, limit=1 << 22):
-        self.limit, self.rest = limit, b""
+        self.limit, self.partial = limit, b""
         self.name, self.data, self.id = "message", [], None
 
     def feed(self, data):
-        out = []
-        *lines, self.rest = (self.rest + data).replace(b"\r\n", b"\n").split(b"\n")
-        if len(self.rest) > self.limit:
+        """The events that these bytes complete."""
+        events = []
+        *lines, self.partial = (self.partial + data).replace(b"\r\n", b"\n").split(b"\n")
+        if len(self.partial) > self.limit:
             raise ValueError(f"a line of an event stream is over {self.limit} bytes")
         for line in lines:
             if not line:
                 if self.data:
-                    out.append(Event(self.name, "\n".join(self.data), self.id))
+                    events.append(Event(self.name, "\n".join(self.data), self.id))
                 self.name, self.data = "message", []
                 continue
             if line[:1] == b":":
@@ -44,4 +47,4 @@
                 self.data.append(value)
             elif field == "id":
                 self.id = value
-        return out
+        return events
--- a/flaxscale/signalling/endpoint.py
+++ b/flaxscale/signalling/endpoint.py
@@ -1,8 +1,8 @@
-"""Requests of WHIP and WHEP, read and checked: an HTTP request in, what is wanted out, or a refusal.
+"""Parses and checks requests of WHIP and WHEP: returns the request's content or raises a Refusal.
 
-The paths are the same at the front and at a box:
+The front and the boxes serve the same paths:
   /whep/TITLE, /whip/TITLE     the endpoints (RFC 9725, 4.2; draft-ietf-wish-whep, 4.2)
-  /session/NAME                a session that plays, for PATCH and DELETE
+  /session/NAME                an established session, for PATCH and DELETE
 """
 
 from typing import NamedTuple
@@ -13,21 +13,22 @@
 
 SDP, FRAGMENT = "application/sdp", "application/trickle-ice-sdpfrag"
 CORS = (("Access-Control-Allow-Origin", "*"), ("Access-Control-Expose-Headers", "Location, ETag, Link, Retry-After"))
-TITLE_LIMIT = 200
+MAX_TITLE_LENGTH = 200
 
 
 class Refusal(Exception):
-    """The request is not taken. Says the status, for whom it is written, and fields to send along."""
+    """The request is refused, with a status, a detail for the client, header fields and problem members."""
 
     def __init__(self, status, detail, headers=(), **more):
         super().__init__(detail)
         self.status, self.detail, self.headers, self.more = status, detail, tuple(headers), more
 
     def body(self):
+        """The problem details (RFC 9457)."""
         return problem.problem(self.status, PROBLEM_TITLES.get(self.status, "Refused"), self.detail, **self.more)
 
     def answer(self):
-        """(status, headers, body) for a client."""
+        """(status, headers, body) of the response."""
         return self.status, [("Content-Type", problem.MEDIA_TYPE), *self.headers, *CORS], self.body()
 
 
@@ -56,20 +57,24 @@
 
 
 class Offer(NamedTuple):
+    """A request for a session."""
+
     sends: bool  # WHIP; else WHEP
     title: str
     body: bytes
     ufrag: str
-    wait: int | None  # the client's patience, in seconds, if it states one
+    wait: int | None  # seconds that the client is willing to wait, if stated
     viewer: str | None
     key: str | None  # Idempotency-Key
     trace: str | None  # traceparent, as sent
-    length: float | None  # how long it expects to play, in seconds
-    top: int | None  # the highest rung that it can use
+    length: float | None  # seconds that the client expects to play
+    top: int | None  # the highest rung that the client can use
     media: sdp.Session | None
 
 
 class Patch(NamedTuple):
+    """ICE candidates or an ICE restart for a session."""
+
     name: str
     body: bytes
     match: str
@@ -77,16 +82,20 @@
 
 
 class Delete(NamedTuple):
+    """The end of a session."""
+
     name: str
 
 
 class Options(NamedTuple):
+    """A query of what an endpoint or session supports."""
+
     methods: str
     accepts: str | None
 
 
 def split_target(target):
-    """Path segments, decoded, and the first value of each query argument."""
+    """The decoded path segments and the first value of each query argument."""
     path, _, query = target.partition("?")
     segments = path.split("/")[1:]
     if "%" in path:
@@ -102,7 +111,7 @@
 
 
 def check_token(headers, tokens):
-    """RFC 6750, 3: 401 with a challenge where there is no token, and where it is none of ours."""
+    """Raises 401 with a challenge if the token is missing or unknown (RFC 6750, 3); no check without tokens."""
     if not tokens:
         return
     token = fields.bearer(headers.get("authorization"))
@@ -117,7 +126,7 @@
 
 
 def parse_request(request, segments, args, tokens=()):
-    """What a request to one of the paths above wants. Raises Refusal."""
+    """The Offer, Patch, Delete or Options of a request to one of the paths above. Raises Refusal."""
     kind = segments[0]
     if len(segments) != 2 or not segments[1]:
         raise Refusal(404, "the path is /whep/TITLE, /whip/TITLE or /session/NAME")
@@ -126,21 +135,22 @@
         if method == "OPTIONS":
             return Options("DELETE, OPTIONS, PATCH", None)
         if method not in ("PATCH", "DELETE"):
-            raise Refusal(405, f"{method} is not taken by a session", [("Allow", "DELETE, OPTIONS, PATCH")])
+            raise Refusal(405, f"{method} is not supported by a session", [("Allow", "DELETE, OPTIONS, PATCH")])
         check_token(request.headers, tokens)
-        return Delete(segments[1]) if method == "DELETE" else read_patch(request, segments[1])
+        return Delete(segments[1]) if method == "DELETE" else parse_patch(request, segments[1])
     if method == "OPTIONS":
         return Options("OPTIONS, POST", SDP)
     if method != "POST":
-        raise Refusal(405, f"{method} is not taken by an endpoint", [("Allow", "OPTIONS, POST")])
+        raise Refusal(405, f"{method} is not supported by an endpoint", [("Allow", "OPTIONS, POST")])
     check_token(request.headers, tokens)
-    return read_offer(request, kind == "whip", segments[1], args)
+    return parse_offer(request, kind == "whip", segments[1], args)
 
 
-def read_offer(request, sends, title, args):
+def parse_offer(request, sends, title, args):
+    """The Offer of a POST to an endpoint."""
     headers = request.headers
-    if len(title) > TITLE_LIMIT:
-        raise Refusal(414, f"a title of over {TITLE_LIMIT} characters")
+    if len(title) > MAX_TITLE_LENGTH:
+        raise Refusal(414, f"the title is longer than {MAX_TITLE_LENGTH} characters")
     kind = fields.media_type(headers.get("content-type"))
     if kind != SDP:
         raise Refusal(415, f"an offer is {SDP}, not {kind or 'without a type'}", [("Accept-Post", SDP)])
@@ -149,8 +159,8 @@
     try:
         media = sdp.parse(request.body)
         first = sdp.check_offer(media, sends)
-    except sdp.SdpError as bad:
-        raise Refusal(bad.status, str(bad)) from None
+    except sdp.SdpError as error:
+        raise Refusal(error.status, str(error)) from None
     return Offer(
         sends,
         title,
@@ -160,14 +170,14 @@
         args.get("viewer") or headers.get("flaxscale-viewer"),
         idempotency_key(headers),
         headers.get("traceparent"),
-        number(args, "length"),
-        whole(args, "top"),
+        parse_positive_number(args, "length"),
+        parse_whole_number(args, "top"),
         media,
     )
 
 
 def idempotency_key(headers):
-    """A structured-field string (draft-ietf-httpapi-idempotency-key-header, 2.1); unquoted is taken as it is."""
+    """A structured-field string (draft-ietf-httpapi-idempotency-key-header, 2.1); also accepted without quotes."""
     value = headers.get("idempotency-key")
     if value is None:
         return None
@@ -177,7 +187,8 @@
     return value
 
 
-def number(args, name):
+def parse_positive_number(args, name):
+    """A query argument over 0 and under a million, or None if absent."""
     if name not in args:
         return None
     try:
@@ -189,7 +200,8 @@
     return value
 
 
-def whole(args, name):
+def parse_whole_number(args, name):
+    """A query argument of at most four digits, or None if absent."""
     if name not in args:
         return None
     if not args[name].isascii() or not args[name].isdigit() or len(args[name]) > 4:
@@ -197,8 +209,8 @@
     return int(args[name])
 
 
-def read_patch(request, name):
-    """RFC 9725, 4.3.1: a fragment under If-Match; 428 without, and what is no fragment is 415."""
+def parse_patch(request, name):
+    """The Patch of a request (RFC 9725, 4.3.1): 415 unless it is a fragment, 428 without If-Match."""
     kind = fields.media_type(request.headers.get("content-type"))
     if kind != FRAGMENT:
         raise Refusal(415, f"a PATCH is {FRAGMENT}, not {kind or 'without a type'}", [("Accept-Patch", FRAGMENT)])
@@ -207,13 +219,13 @@
         raise Refusal(428, "a PATCH needs If-Match: the session's ETag, or * for an ICE restart")
     try:
         fragment = sdp.parse_fragment(request.body)
-    except sdp.SdpError as bad:
-        raise Refusal(bad.status, str(bad)) from None
+    except sdp.SdpError as error:
+        raise Refusal(error.status, str(error)) from None
     return Patch(name, request.body, match, fragment)
 
 
 def options_headers(want):
-    """RFC 9725, 4.2: Accept-Post tells what an endpoint takes; the rest is for browsers (CORS)."""
+    """Header fields for OPTIONS: Accept-Post or Accept-Patch (RFC 9725, 4.2), and those for browsers (CORS)."""
     rows = [
         ("Allow", want.methods),
         ("Access-Control-Allow-Methods", want.methods),
--- a/flaxscale/signalling/load.py
+++ b/flaxscale/signalling/load.py
@@ -1,4 +1,4 @@
-"""Load reports in answers, in ORCA's published form (the endpoint-load-metrics field: TEXT or JSON)."""
+"""Load reports in responses, in the format of ORCA: the header field endpoint-load-metrics as TEXT or JSON."""
 
 import json
 import math
@@ -7,12 +7,12 @@
 
 
 def encode(values):
-    """values: name to number, told as named metrics."""
+    """The field value for a dict of numbers by name, as named metrics in TEXT form."""
     return "TEXT " + ", ".join(f"named_metrics.{name}={value:.4f}" for name, value in values.items())
 
 
 def decode(text):
-    """Name to number. What can't be read is left out: a bad report never fails the answer that carries it."""
+    """Numbers by name. Invalid parts are ignored, so that a bad report never fails the response that carries it."""
     kind, _, rest = (text or "").strip().partition(" ")
     found = {}
     if kind == "JSON":
--- a/flaxscale/signalling/sdp.py
+++ b/flaxscale/signalling/sdp.py
@@ -1,21 +1,21 @@
-"""SDP (RFC 8866) as far as signalling needs: offers are read and checked, answers made, fragments read.
+"""SDP (RFC 8866) as far as signalling needs it: parses and checks offers, builds answers, parses fragments.
 
-What is checked of an offer: media sections and their bundle (RFC 9143), ICE ufrag and password (RFC 8839),
-a DTLS fingerprint and role (RFC 8122, RFC 8842), and that its directions are those of its protocol.
+Checked in an offer: the media sections and their bundle (RFC 9143), ICE ufrag and password (RFC 8839), DTLS
+fingerprint and role (RFC 8122, RFC 8842), and that the directions fit WHIP or WHEP.
 """
 
 import re
 from typing import NamedTuple
 
-HASHES = {"sha-1": 20, "sha-224": 28, "sha-256": 32, "sha-384": 48, "sha-512": 64}  # bytes (RFC 8122, 5)
+HASH_SIZES = {"sha-1": 20, "sha-224": 28, "sha-256": 32, "sha-384": 48, "sha-512": 64}  # bytes (RFC 8122, 5)
 DIRECTIONS = ("sendrecv", "sendonly", "recvonly", "inactive")
 PROTOCOLS = ("UDP/TLS/RTP/SAVPF", "UDP/TLS/RTP/SAVP", "TCP/DTLS/RTP/SAVPF", "TCP/TLS/RTP/SAVPF")
-LIMIT_LINES = 2000
-LIMIT_MEDIA = 16  # media sections
+MAX_LINES = 2000
+MAX_MEDIA_SECTIONS = 16
 
 
 class SdpError(ValueError):
-    """What is wrong, and in which line (0: in the whole)."""
+    """An error in a description, with its line (0: in no single line) and an HTTP status."""
 
     def __init__(self, detail, line=0, status=400):
         super().__init__(f"line {line}: {detail}" if line else detail)
@@ -23,6 +23,8 @@
 
 
 class Media(NamedTuple):
+    """One media section."""
+
     kind: str  # audio, video
     protocol: str
     formats: tuple
@@ -33,18 +35,20 @@
     fingerprint: str
     setup: str
     port: int
-    maps: tuple  # the values of its rtpmap lines
+    rtpmaps: tuple  # values of the rtpmap lines
 
     def codec(self):
-        """The name of its first format's codec; the format's own number where no line maps it."""
+        """The codec name of the first format, or the format number if no rtpmap line names it."""
         first = self.formats[0] + " "
-        found = next((row[len(first) :] for row in self.maps if row.startswith(first)), "")
+        found = next((row[len(first) :] for row in self.rtpmaps if row.startswith(first)), "")
         return found.partition("/")[0] or self.formats[0]
 
     bundle_only: bool
 
 
 class Session(NamedTuple):
+    """A parsed description."""
+
     media: tuple
     bundle: tuple  # mids of the first BUNDLE group
 
@@ -55,19 +59,19 @@
     ufrag: str
     pwd: str
     candidates: tuple  # (mid, candidate line)
-    complete: bool  # end-of-candidates was said
+    complete: bool  # contains end-of-candidates
 
 
-def ice_chars(text, least):
-    """Whether this is least to 256 ice-chars (RFC 8839, 5.4)."""
-    plain = text.replace("+", "").replace("/", "")
-    return least <= len(text) <= 256 and plain.isascii() and (plain.isalnum() or not plain)
+def is_ice_string(text, min_length):
+    """Whether text consists of min_length to 256 ice-chars (RFC 8839, 5.4)."""
+    letters = text.replace("+", "").replace("/", "")
+    return min_length <= len(text) <= 256 and letters.isascii() and (letters.isalnum() or not letters)
 
 
-def fingerprint_good(text):
-    """A hash's name and as many bytes in hexadecimal as it has (RFC 8122, 5)."""
+def is_valid_fingerprint(text):
+    """Whether text is the name of a hash function and a value of its size in hexadecimal (RFC 8122, 5)."""
     name, _, rest = text.partition(" ")
-    size, digits = HASHES.get(name.lower()), rest.replace(":", "")
+    size, digits = HASH_SIZES.get(name.lower()), rest.replace(":", "")
     if size is None or len(rest) != 3 * size - 1 or len(digits) != 2 * size:
         return False
     try:
@@ -76,26 +80,27 @@
         return False
 
 
-def lines_of(text):
-    """(number, type, value) of each line; the line end may be a bare LF (RFC 8866, 5)."""
+def split_lines(text):
+    """Yields (number, type, value) of each line; lines may end with a bare LF (RFC 8866, 5)."""
     rows = text.replace("\r\n", "\n").rstrip("\n").split("\n")
-    if len(rows) > LIMIT_LINES:
-        raise SdpError(f"over {LIMIT_LINES} lines", status=413)
+    if len(rows) > MAX_LINES:
+        raise SdpError(f"over {MAX_LINES} lines", status=413)
     for number, row in enumerate(rows, 1):
         if len(row) < 2 or row[1] != "=" or not row[0].isalpha():
             raise SdpError(f"not a type, an equals sign and a value: {row[:40]!r}", number)
         yield number, row[0], row[2:]
 
 
-def text_of(body):
+def decode_utf8(body):
+    """The text of a body; raises SdpError if it is not UTF-8."""
     try:
         return body.decode("utf-8")
-    except UnicodeDecodeError as bad:
-        raise SdpError(f"not UTF-8 at byte {bad.start}") from None
+    except UnicodeDecodeError as error:
+        raise SdpError(f"not UTF-8 at byte {error.start}") from None
 
 
-LINES = re.compile(r"(?:[A-Za-z]=[^\n]*(?:\n|$))*")
-WANTED = re.compile(
+VALID_LINES = re.compile(r"(?:[A-Za-z]=[^\n]*(?:\n|$))*")
+RELEVANT_LINES = re.compile(
     r"^(?:m=(.*)|a=(ice-ufrag|ice-pwd|fingerprint|setup|mid|bundle-only|rtpmap|group|"
     r"sendrecv|sendonly|recvonly|inactive)(?::(.*))?|([ost])=.*)$",
     re.M,
@@ -103,83 +108,85 @@
 
 
 def parse(body):
-    """A Session from the bytes of an offer or answer; SdpError names the line.
+    """Parses an offer or answer; raises SdpError that names the line.
 
-    The lines are told apart by two expressions, since of all work on a set-up this was the dearest.
+    Two regular expressions find the lines, since splitting and matching each line was the most expensive part of a
+    session request.
     """
-    text = text_of(body).replace("\r\n", "\n").rstrip("\n")
+    text = decode_utf8(body).replace("\r\n", "\n").rstrip("\n")
     if not text.startswith("v=0"):
         raise SdpError("does not begin with v=0", 1)
-    if text.count("\n") >= LIMIT_LINES:
-        raise SdpError(f"over {LIMIT_LINES} lines", status=413)
-    if (end := LINES.match(text).end()) < len(text):
+    if text.count("\n") >= MAX_LINES:
+        raise SdpError(f"over {MAX_LINES} lines", status=413)
+    if (end := VALID_LINES.match(text).end()) < len(text):
         raise SdpError(
             f"not a type, an equals sign and a value: {text[end : end + 40].partition(chr(10))[0]!r}",
             text.count("\n", 0, end) + 1,
         )
-    here = common = {}
-    medias, order, bundle = [], "", ()
-    for match in WANTED.finditer(text):
+    section = common = {}
+    medias, session_types, bundle = [], "", ()
+    for match in RELEVANT_LINES.finditer(text):
         media, name, rest, kind = match.groups()
         if name is not None:
             if name == "rtpmap":
-                here.setdefault("rtpmap", []).append(rest or "")
+                section.setdefault("rtpmap", []).append(rest or "")
             elif name in DIRECTIONS:
-                here["direction"] = name
+                section["direction"] = name
             elif name == "group":
                 if not medias and not bundle and (rest or "").startswith("BUNDLE"):
                     bundle = tuple(rest.split()[1:])
             else:
-                here.setdefault(name, rest or "")
+                section.setdefault(name, rest or "")
         elif media is not None:
-            here = media_line(media, text.count("\n", 0, match.start()) + 1)
-            medias.append(here)
-            if len(medias) > LIMIT_MEDIA:
-                raise SdpError(f"over {LIMIT_MEDIA} media sections", status=422)
+            section = parse_media_line(media, text.count("\n", 0, match.start()) + 1)
+            medias.append(section)
+            if len(medias) > MAX_MEDIA_SECTIONS:
+                raise SdpError(f"over {MAX_MEDIA_SECTIONS} media sections", status=422)
         elif not medias:
-            order += kind
-    for must in "ost":
-        if must not in order:
-            raise SdpError(f"the line {must}= is missing")
+            session_types += kind
+    for required in "ost":
+        if required not in session_types:
+            raise SdpError(f"the line {required}= is missing")
     if not medias:
         raise SdpError("no media section", status=422)
-    return Session(tuple(media_of(m, common) for m in medias), bundle)
+    return Session(tuple(build_media(section, common) for section in medias), bundle)
 
 
-def media_line(value, number):
+def parse_media_line(value, number):
+    """The fields of an m= line as the start of a media section."""
     parts = value.split()
     port = parts[1].partition("/")[0] if len(parts) > 3 else ""
     if not (port.isascii() and port.isdigit() and len(port) < 6 and int(port) < 65536):
         raise SdpError(f"not a media line: {value[:40]!r}", number)
     if parts[0] not in ("audio", "video"):
-        raise SdpError(f"media of kind {parts[0][:20]!r}; audio and video are taken", number, 422)
+        raise SdpError(f"media of kind {parts[0][:20]!r}; audio and video are accepted", number, 422)
     if parts[2] not in PROTOCOLS:
         raise SdpError(f"protocol {parts[2][:30]!r}; DTLS-SRTP is needed (RFC 8827)", number, 422)
     return {"kind": parts[0], "port": int(port), "protocol": parts[2], "formats": tuple(parts[3:])}
 
 
-def media_of(m, common):
-    """What a section does not say for itself, the session says for it (RFC 8866, 5.13)."""
-    m = {**common, **m}
-    get = m.get
+def build_media(fields, common):
+    """The Media of a section; attributes that it lacks are taken from the session level (RFC 8866, 5.13)."""
+    fields = {**common, **fields}
+    get = fields.get
     return Media(
-        m["kind"],
-        m["protocol"],
-        m["formats"],
+        fields["kind"],
+        fields["protocol"],
+        fields["formats"],
         get("mid", ""),
         get("direction", "sendrecv"),
         get("ice-ufrag", ""),
         get("ice-pwd", ""),
         get("fingerprint", ""),
         get("setup", ""),
-        m["port"],
+        fields["port"],
         tuple(get("rtpmap", ())),
-        "bundle-only" in m,
+        "bundle-only" in fields,
     )
 
 
 def check_offer(session, sends):
-    """Raises SdpError where the offer can't be taken: by WHIP (sends) or WHEP (receives).
+    """Raises SdpError if an offer is not acceptable for WHIP (sends) or WHEP; returns the first bundled section.
 
     RFC 9725, 4.2: a WHIP offer is sendonly or may be sendrecv, never recvonly or inactive, and its answer is
     recvonly. draft-ietf-wish-whep, 4.2, mirrors it for players: recvonly or sendrecv, the answer sendonly.
@@ -205,27 +212,27 @@
     first = next(m for m in session.media if m.mid == session.bundle[0]) if session.bundle[0] in mids else None
     if first is None:
         raise SdpError(f"the BUNDLE group begins with {session.bundle[0]!r}, which is no section", status=422)
-    if not ice_chars(first.ufrag, 4):
+    if not is_ice_string(first.ufrag, 4):
         raise SdpError("no ICE ufrag of 4 to 256 ice-chars", status=422)
-    if not ice_chars(first.pwd, 22):
+    if not is_ice_string(first.pwd, 22):
         raise SdpError("no ICE password of 22 to 256 ice-chars", status=422)
-    if not fingerprint_good(first.fingerprint):
-        raise SdpError("no DTLS fingerprint that can be read (RFC 8122)", status=422)
+    if not is_valid_fingerprint(first.fingerprint):
+        raise SdpError("no valid DTLS fingerprint (RFC 8122)", status=422)
     if first.setup not in ("actpass", "active"):
         raise SdpError(f"DTLS role {first.setup or 'missing'!r}; an offer says actpass (RFC 8842, 5.2)", status=422)
     return first
 
 
 def offer(sends, ufrag, pwd, fingerprint, tail="0"):
-    """A small offer, as our own clients make it."""
-    way = "sendonly" if sends else "recvonly"
+    """A minimal offer, used by the project's own clients."""
+    direction = "sendonly" if sends else "recvonly"
     rows = ["v=0", f"o=- {tail} 1 IN IP4 127.0.0.1", "s=-", "t=0 0", "a=group:BUNDLE 0 1", "a=ice-options:trickle ice2"]
     for mid, kind, pt, codec in (("0", "audio", 111, "opus/48000/2"), ("1", "video", 96, "H264/90000")):
         rows += [
             f"m={kind} 9 UDP/TLS/RTP/SAVPF {pt}",
             "c=IN IP4 0.0.0.0",
             f"a=mid:{mid}",
-            f"a={way}",
+            f"a={direction}",
             f"a=ice-ufrag:{ufrag}",
             f"a=ice-pwd:{pwd}",
             f"a=fingerprint:sha-256 {fingerprint}",
@@ -237,7 +244,7 @@
 
 
 def answer(session, sends, ufrag, pwd, fingerprint, candidate, tail="0"):
-    """The answer to a checked offer: each section taken with its first format, one transport (RFC 9143)."""
+    """The answer to a checked offer: accepts the first format of each section, on one transport (RFC 9143)."""
     first, rows = (
         True,
         [
@@ -250,15 +257,15 @@
         ],
     )
     for m in session.media:
-        back = "recvonly" if sends else "sendonly"
+        direction = "recvonly" if sends else "sendonly"
         rows += [
             f"m={m.kind} 9 {m.protocol} {m.formats[0]}",
             "c=IN IP4 0.0.0.0",
             f"a=mid:{m.mid}",
-            f"a={back}",
+            f"a={direction}",
             "a=rtcp-mux",
         ]
-        rows += [f"a=rtpmap:{row}" for row in m.maps if row.startswith(m.formats[0] + " ")][:1]
+        rows += [f"a=rtpmap:{row}" for row in m.rtpmaps if row.startswith(m.formats[0] + " ")][:1]
         if first:
             rows += [
                 f"a=ice-ufrag:{ufrag}",
@@ -273,27 +280,27 @@
 
 
 def first_candidate(body):
-    """(address, port, ufrag) of the first candidate of an answer, for our own clients."""
+    """(address, port, ufrag) of the first candidate of an answer, used by the project's own clients."""
     address = port = ufrag = None
-    for row in text_of(body).splitlines():
+    for row in decode_utf8(body).splitlines():
         if row.startswith("a=candidate:") and address is None:
             parts = row.split()
             address, port = parts[4], int(parts[5])
         elif row.startswith("a=ice-ufrag:") and ufrag is None:
             ufrag = row[12:]
     if address is None or ufrag is None:
-        raise SdpError("an answer without candidate and ufrag")
+        raise SdpError("the answer has no candidate or no ufrag")
     return address, port, ufrag
 
 
 def parse_fragment(body):
-    """A Fragment (RFC 8840, 4.4) from the bytes of a PATCH."""
+    """Parses the body of a PATCH (RFC 8840, 4.4)."""
     ufrag = pwd = mid = ""
     candidates, complete = [], False
-    text = text_of(body)
+    text = decode_utf8(body)
     if not text.strip():
         raise SdpError("an empty fragment")
-    for number, kind, value in lines_of(text):
+    for number, kind, value in split_lines(text):
         if kind == "m":
             mid = ""
         elif kind == "a":
@@ -311,9 +318,9 @@
             elif name == "end-of-candidates":
                 complete = True
         else:
-            raise SdpError(f"a line {kind}= has no place in a fragment", number)
-    if not ice_chars(ufrag, 4):
+            raise SdpError(f"a line {kind}= is not allowed in a fragment", number)
+    if not is_ice_string(ufrag, 4):
         raise SdpError("no ICE ufrag of 4 to 256 ice-chars", status=422)
-    if pwd and not ice_chars(pwd, 22):
-        raise SdpError("an ICE password that is no 22 to 256 ice-chars", status=422)
+    if pwd and not is_ice_string(pwd, 22):
+        raise SdpError("the ICE password is not 22 to 256 ice-chars", status=422)
     return Fragment(ufrag, pwd, tuple(candidates), complete)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""HTTP and event streams without sockets: the same bytes cut at every offset give the same events."""
+"""HTTP and event stream parsers without sockets: input split at any offset gives the same events."""
 
 import unittest
 
@@ -15,24 +15,24 @@
 CHUNKED = b"POST /x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
 
 
-def fed(side, pieces):
+def feed_all(side, pieces):
     return [event for piece in pieces for event in side.feed(piece)]
 
 
-class Server(unittest.TestCase):
-    def test_cut_at_every_offset(self):
+class ServerSideTest(unittest.TestCase):
+    def test_split_at_every_offset(self):
         data = POST + CHUNKED + b"GET /y HTTP/1.0\r\n\r\n"
-        whole = fed(ServerSide(), [data])
+        whole = feed_all(ServerSide(), [data])
         self.assertEqual(
             [("POST", b"v=0\r\n", True), ("POST", b"abcde", True), ("GET", b"", False)],
             [(e.method, e.body, e.keep_alive) for e in whole],
         )
         self.assertEqual("1, 2", whole[0].headers["x-a"])
         for at in range(len(data)):
-            self.assertEqual(whole, fed(ServerSide(), [data[:at], data[at:]]), at)
-        self.assertEqual(whole, fed(ServerSide(), [data[n : n + 1] for n in range(len(data))]))
+            self.assertEqual(whole, feed_all(ServerSide(), [data[:at], data[at:]]), at)
+        self.assertEqual(whole, feed_all(ServerSide(), [data[n : n + 1] for n in range(len(data))]))
 
-    def test_limits_hold_however_the_bytes_come(self):
+    def test_limits_hold_for_any_split_of_the_input(self):
         limits = Limits(head=500, fields=5, target=50, body=20)
         head = b"POST /x HTTP/1.1\r\nHost: h\r\n"
         for want, data in (
@@ -49,7 +49,7 @@
             (400, b"\x16\x03\x01\x02\x00"),
         ):
             for size in (1, 7, 400):
-                events = fed(ServerSide(limits), [data[n : n + size] for n in range(0, len(data), size)])
+                events = feed_all(ServerSide(limits), [data[n : n + size] for n in range(0, len(data), size)])
                 self.assertEqual([want], [e.status for e in events if isinstance(e, Refused)], (data[:60], size))
                 self.assertFalse([e for e in events if isinstance(e, Request)])
 
@@ -65,44 +65,44 @@
 
     @settings(max_examples=200, deadline=None)
     @given(st.binary(max_size=300), st.integers(1, 40))
-    def test_no_bytes_raise(self, data, size):
+    def test_no_input_raises(self, data, size):
         for text in (data, POST[:30] + data, POST[:-5] + data):
-            fed(ServerSide(), [text[n : n + size] for n in range(0, len(text), size)])
+            feed_all(ServerSide(), [text[n : n + size] for n in range(0, len(text), size)])
             client = ClientSide()
             client.expect()
-            fed(client, [text[n : n + size] for n in range(0, len(text), size)])
+            feed_all(client, [text[n : n + size] for n in range(0, len(text), size)])
             client.eof()
 
 
-class Client(unittest.TestCase):
-    def test_cut_at_every_offset(self):
+class ClientSideTest(unittest.TestCase):
+    def test_split_at_every_offset(self):
         data = b"HTTP/1.1 100 Continue\r\n\r\n" + response(201, [("Location", "/s/1")], b"hello")
         for at in range(len(data)):
             side = ClientSide()
             side.expect()
-            events = fed(side, [data[:at], data[at:]])
+            events = feed_all(side, [data[:at], data[at:]])
             self.assertEqual((201, "/s/1"), (events[0].status, events[0].headers["location"]))
             self.assertEqual(b"hello", b"".join(e.bytes for e in events if isinstance(e, Data)))
             self.assertEqual(Done(True), events[-1])
 
-    def test_half_a_response_is_broken_and_one_without_length_is_whole(self):
+    def test_a_partial_response_is_invalid_and_one_without_length_ends_with_the_connection(self):
         side = ClientSide()
         side.expect()
-        fed(side, [response(201, [], b"hello")[:-2]])
+        feed_all(side, [response(201, [], b"hello")[:-2]])
         self.assertIsInstance(side.eof()[0], InvalidResponse)
         side = ClientSide()
         side.expect()
-        events = fed(side, [b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall of it"])
+        events = feed_all(side, [b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall of it"])
         self.assertEqual([Head, Data], [type(e) for e in events])
         self.assertEqual([Done(False)], side.eof())
 
-    def test_bytes_that_nobody_asked_for(self):
+    def test_bytes_without_a_request_are_invalid(self):
         side = ClientSide()
         self.assertIsInstance(side.feed(b"HTTP/1.1 200 OK\r\n\r\n")[0], InvalidResponse)
 
 
-class Streams(unittest.TestCase):
-    def test_events_cut_at_every_offset(self):
+class EventStreamTest(unittest.TestCase):
+    def test_events_split_at_every_offset(self):
         data = sse.encode("full", "a\nb", "7") + b": a comment\n\n" + sse.encode("delta", "c")
         for at in range(len(data)):
             reader = sse.Reader()
@@ -112,7 +112,7 @@
             sse.Reader(limit=10).feed(b"x" * 20)
 
 
-class Fields(unittest.TestCase):
+class FieldsTest(unittest.TestCase):
     def test_prefer_accept_and_bearer(self):
         for want, value in (
             (3, "wait=3"),
--- a/tests/test_signalling.py
+++ b/tests/test_signalling.py
@@ -1,4 +1,4 @@
-"""SDP, fragments and endpoints without sockets."""
+"""SDP, fragments, endpoints and load reports, without sockets."""
 
 import unittest
 
@@ -8,11 +8,11 @@
 from flaxscale.http1.server import Request
 from flaxscale.signalling import endpoint, load, sdp
 
-PRINT = ":".join(["AB"] * 32)
-OFFER = sdp.offer(False, "abcd", "p" * 24, PRINT)
+FINGERPRINT = ":".join(["AB"] * 32)
+OFFER = sdp.offer(False, "abcd", "p" * 24, FINGERPRINT)
 
 
-class Offers(unittest.TestCase):
+class OfferTest(unittest.TestCase):
     def refused(self, body, sends=False):
         with self.assertRaises(sdp.SdpError) as caught:
             sdp.check_offer(sdp.parse(body), sends)
@@ -20,16 +20,16 @@
 
     def test_an_offer_and_its_answer(self):
         for sends in (False, True):
-            session = sdp.parse(sdp.offer(sends, "abcd", "p" * 24, PRINT))
+            session = sdp.parse(sdp.offer(sends, "abcd", "p" * 24, FINGERPRINT))
             first = sdp.check_offer(session, sends)
             self.assertEqual(("abcd", "actpass"), (first.ufrag, first.setup))
-            answer = sdp.answer(session, sends, "wxyz", "q" * 24, PRINT, "1 1 tcp 1 127.0.0.1 99 typ host")
+            answer = sdp.answer(session, sends, "wxyz", "q" * 24, FINGERPRINT, "1 1 tcp 1 127.0.0.1 99 typ host")
             back = sdp.parse(answer)
             self.assertEqual({"recvonly" if sends else "sendonly"}, {m.direction for m in back.media})
             self.assertEqual([("0", "opus"), ("1", "H264")], [(m.mid, m.codec()) for m in back.media])
             self.assertEqual(("127.0.0.1", 99, "wxyz"), sdp.first_candidate(answer))
 
-    def test_each_fault_is_told_with_its_status(self):
+    def test_each_error_has_its_status(self):
         for want, status, old, new in (
             ("line 1", 400, b"v=0", b"v=1x"),
             ("o= is missing", 400, b"o=-", b"x=-"),
@@ -52,19 +52,19 @@
             self.assertIn(want, str(bad))
             self.assertEqual(status, bad.status, want)
         self.assertIn("recvonly: a WHIP offer sends", str(self.refused(OFFER, sends=True)))
-        two = sdp.offer(True, "abcd", "p" * 24, PRINT).replace(
+        two = sdp.offer(True, "abcd", "p" * 24, FINGERPRINT).replace(
             b"m=audio 9 UDP/TLS/RTP/SAVPF 111", b"m=video 9 UDP/TLS/RTP/SAVPF 111"
         )
         self.assertIn("more than one video", str(self.refused(two, sends=True)))
 
-    def test_sendrecv_is_taken_from_both(self):
+    def test_sendrecv_is_accepted_by_both_protocols(self):
         body = OFFER.replace(b"recvonly", b"sendrecv")
         for sends in (False, True):
             sdp.check_offer(sdp.parse(body), sends)
 
     @settings(max_examples=300, deadline=None)
     @given(st.binary(max_size=200), st.integers(0, len(OFFER)), st.integers(0, 60))
-    def test_any_change_of_an_offer_is_read_or_refused(self, data, at, cut):
+    def test_any_change_of_an_offer_is_parsed_or_refused(self, data, at, cut):
         for body in (data, OFFER[:at] + data + OFFER[at + cut :]):
             for read in (lambda b: sdp.check_offer(sdp.parse(b), False), sdp.parse_fragment):
                 try:
@@ -85,13 +85,13 @@
                 sdp.parse_fragment(body)
 
 
-class Endpoints(unittest.TestCase):
+class EndpointTest(unittest.TestCase):
     def read(self, method="POST", target="/whep/one", body=OFFER, tokens=(), **headers):
         rows = {"content-type": "application/sdp", **{k.replace("_", "-"): v for k, v in headers.items()}}
         segments, args = endpoint.split_target(target)
         return endpoint.parse_request(Request(method, target, rows, body, True), segments, args, tokens)
 
-    def test_what_an_offer_says(self):
+    def test_an_offer_is_parsed(self):
         want = self.read(
             target="/whep/a%20b?viewer=anna&length=40&top=2", prefer="wait=4", idempotency_key='"k"', traceparent="t"
         )
@@ -121,7 +121,7 @@
             self.assertEqual(status, caught.exception.status, how)
         self.read(tokens=["s", "t"], authorization="Bearer t")
 
-    def test_load_reports_that_are_bad_are_left_out(self):
+    def test_invalid_load_reports_are_ignored(self):
         self.assertEqual({"x0": 0.5, "x1": 1.25}, load.decode(load.encode({"x0": 0.5, "x1": 1.25})))
         self.assertEqual({"x0": 0.5, "cpu": 0.1}, load.decode('JSON {"named_metrics":{"x0":0.5},"cpu":0.1}'))
         for bad in (None, "", "TEXT x0=", "TEXT x0=nan", "TEXT x0=-1", "JSON [", "JSON 3", "BIN aGk=", "TEXT =,,="):
