--- a/flaxscale/front/peaks.py
+++ b/flaxscale/front/peaks.py
@@ -33,7 +33,9 @@
     def rule(self, site):
         """Goes by these settings from now on; what was announced and who came to it stands."""
         self.site, self.room_kb = site, bandwidth_function(site)
-        self.keeper.fleet = PeakEnvironment(self.room_of, self.front.holders, site.fleet.racks, site.fleet.uplink_kb)
+        self.keeper.environment = PeakEnvironment(
+            self.room_of, self.front.holders, site.fleet.racks, site.fleet.uplink_kb
+        )
 
     def start(self):
         if self.watch:
--- a/flaxscale/peaks/__init__.py
+++ b/flaxscale/peaks/__init__.py
@@ -1,1 +1,1 @@
-"""Announced peaks: what was announced, and the room that one manager keeps for it. No I/O."""
+"""Announced demand peaks: announcements, the bandwidth that a manager reserves for them, and planning. No I/O."""
--- a/flaxscale/peaks/axis.py
+++ b/flaxscale/peaks/axis.py
@@ -1,29 +1,31 @@
-"""The time axis of announcements at one manager: seconds of the service's clock, on a clock that never jumps.
+"""The time axis of announcements at one manager: the catalogue service's wall clock, on this machine's monotonic clock.
 
-Announcements say when by the wall clock, and wall clocks of machines differ by seconds and jump. Where the service
-was heard, its own clock counts: of the differences seen lately the largest, since what is told only ever comes
-late. Before it was heard, this machine's wall clock counts as it was at the first look; a later jump of it changes
-nothing.
+Announcements state wall-clock times, but the wall clocks of machines differ by seconds and jump. Once readings of the
+service's clock have arrived, the largest of the recent offsets to the monotonic clock is used, since delay can only
+make a reading too small. Before that, this machine's wall clock at the first call is used; later jumps of it have no
+effect.
 """
 
 from collections import deque
 
-LATEST = 8  # tellings of the service's clock that count
+MAX_READINGS = 8  # recent readings of the service's clock that are considered
 
 
 class Axis:
+    """Converts the monotonic clock to the service's wall clock."""
+
     def __init__(self):
-        self.told, self.first = deque(maxlen=LATEST), None
-
-    def add_reading(self, service_s, steady_s):
-        """The service's clock said this, read at this time of our steady clock."""
-        difference = service_s - steady_s
-        if self.told and abs(difference - max(self.told)) > 5.0:
-            self.told.clear()  # the service's clock was set, or another service speaks
-        self.told.append(difference)
-
-    def at(self, steady_s, wall_s):
-        """Seconds on the axis now."""
-        if self.first is None:
-            self.first = wall_s - steady_s
-        return steady_s + (max(self.told) if self.told else self.first)
+        self.offsets, self.fallback = deque(maxlen=MAX_READINGS), None
+
+    def add_reading(self, service_s, monotonic_s):
+        """Records a reading of the service's clock, received at this time of the monotonic clock."""
+        offset = service_s - monotonic_s
+        if self.offsets and abs(offset - max(self.offsets)) > 5.0:
+            self.offsets.clear()  # the service's clock was set, or the service was replaced
+        self.offsets.append(offset)
+
+    def at(self, monotonic_s, wall_s):
+        """The current time on the axis, in seconds."""
+        if self.fallback is None:
+            self.fallback = wall_s - monotonic_s
+        return monotonic_s + (max(self.offsets) if self.offsets else self.fallback)
--- a/flaxscale/peaks/book.py
+++ b/flaxscale/peaks/book.py
@@ -1,7 +1,7 @@
-"""Announcements as a versioned whole: each change is checked against all of it, and made or refused. No I/O.
+"""The versioned set of announcements: each change is checked against the whole set, then made or refused. No I/O.
 
-The whole is small (at most LIMIT announcements), so that each version is told and kept whole: a follower that missed
-any number of versions is right again with the next one.
+The set is small (at most MAX_ANNOUNCEMENTS), so each version is sent and stored completely: a follower that missed any
+number of versions is up to date with the next one.
 """
 
 from typing import NamedTuple
@@ -12,15 +12,15 @@
 from ..store.shapes import decoded
 from .announce import Announcement, faults
 
-LIMIT = 200
-DONE = 1_000  # changes that are known by their clients' ids
-KEEP_ENDED_S = 86_400.0  # an announcement is shown for a day after its end, then it goes
-SHAPE = 1
-CHANGES = frozenset(Announcement.__struct_fields__) - {"name"}
+MAX_ANNOUNCEMENTS = 200
+MAX_CHANGE_IDS = 1_000  # change ids of clients that are remembered, to detect repeated requests
+KEEP_ENDED_S = 86_400.0  # an announcement is listed for a day after its end, then removed
+FORMAT_VERSION = 1
+CHANGEABLE_FIELDS = frozenset(Announcement.__struct_fields__) - {"name"}
 
 
 class Refused(Exception):
-    """The change does not fit; every reason."""
+    """The change is invalid, with all reasons."""
 
     def __init__(self, reasons):
         super().__init__("; ".join(reasons[:5]) + (f" (and {len(reasons) - 5} more)" if len(reasons) > 5 else ""))
@@ -28,15 +28,15 @@
 
 
 class Frame(NamedTuple):
-    """What announcements must fit."""
+    """What announcements are checked against."""
 
-    titles: object  # anything that `in` works on: the titles known now
+    titles: object  # container of the titles known now
     rungs: int
     packages: tuple
 
 
 class Change(NamedTuple):
-    """What one version did."""
+    """The change that made a version."""
 
     version: int
     at_s: float
@@ -47,55 +47,64 @@
 
 
 class PeakBook:
+    """The announcements of one version, with recent changes."""
+
     def __init__(self, version=0, peaks=(), history=(), done=()):
-        """done: {client's id of a change: the version that it made}."""
+        """done: {change id of a client: the version that the change made}."""
         self.version, self.peaks, self.history = version, {p.name: p for p in peaks}, list(history)
         self.done = dict(done)
 
     def announce(self, peak, frame, now_s, expect=None, who="", why=""):
+        """Adds an announcement; returns the new version."""
         if peak.name in self.peaks:
             raise Refused([f"{peak.name}: announced already; change or cancel it"])
-        return self.move({**self.peaks, peak.name: peak}, "announced", peak.name, frame, now_s, expect, who, why)
+        return self.commit({**self.peaks, peak.name: peak}, "announced", peak.name, frame, now_s, expect, who, why)
 
     def change(self, name, fields, frame, now_s, expect=None, who="", why=""):
-        """fields: {field of an announcement: new value}. A schedule was made for what was, and goes with it."""
+        """Changes fields of an announcement. Its schedule, planned for the old values, is dropped unless given anew."""
         if name not in self.peaks:
             raise Refused([f"{name}: not announced"])
-        if odd := sorted(fields.keys() - CHANGES):
-            raise Refused([f"{name}: {odd[0]!r} is no field of an announcement; they are {', '.join(sorted(CHANGES))}"])
+        if unknown := sorted(fields.keys() - CHANGEABLE_FIELDS):
+            raise Refused(
+                [
+                    f"{name}: {unknown[0]!r} is no field of an announcement; "
+                    f"they are {', '.join(sorted(CHANGEABLE_FIELDS))}"
+                ]
+            )
         if not fields:
             raise Refused([f"{name}: nothing to change"])
         fields = {"schedule": (), **fields}
         try:
             peak = msgspec.convert({**msgspec.to_builtins(self.peaks[name]), **fields}, Announcement)
-        except msgspec.ValidationError as bad:
-            raise Refused([f"{name}: {bad}"]) from None
-        return self.move({**self.peaks, name: peak}, "changed", name, frame, now_s, expect, who, why)
+        except msgspec.ValidationError as error:
+            raise Refused([f"{name}: {error}"]) from None
+        return self.commit({**self.peaks, name: peak}, "changed", name, frame, now_s, expect, who, why)
 
     def cancel(self, name, frame, now_s, expect=None, who="", why=""):
+        """Removes an announcement; returns the new version."""
         if name not in self.peaks:
             raise Refused([f"{name}: not announced"])
         rest = {n: p for n, p in self.peaks.items() if n != name}
-        return self.move(rest, "cancelled", name, frame, now_s, expect, who, why)
+        return self.commit(rest, "cancelled", name, frame, now_s, expect, who, why)
 
-    def move(self, peaks, what, name, frame, now_s, expect, who, why):
-        """The next version, or Refused or Behind with all as it was."""
+    def commit(self, peaks, what, name, frame, now_s, expect, who, why):
+        """Makes the next version; on Refused or Behind nothing changes."""
         if expect is not None and expect != self.version:
             raise Behind(expect, self.version)
-        # One that is over stands until it goes by itself, also where its title was dropped since.
+        # An announcement that is over stays until KEEP_ENDED_S has passed, even if its title was dropped meanwhile.
         peaks = {n: p for n, p in peaks.items() if p.end_s > now_s - KEEP_ENDED_S}
-        judged = [p for p in peaks.values() if p.end_s > now_s or p.name == name]
+        checked = [p for p in peaks.values() if p.end_s > now_s or p.name == name]
         reasons = [
             f"{n}: {detail}"
-            for n, detail in faults(judged, frame.titles, frame.rungs, frame.packages)
+            for n, detail in faults(checked, frame.titles, frame.rungs, frame.packages)
             if n == name or what != "cancelled"
         ]
         if what != "cancelled" and name in peaks and peaks[name].end_s <= now_s:
             reasons.append(f"{name}: it ends {now_s - peaks[name].end_s:.0f} s ago")
         if what != "cancelled" and name not in peaks:
             reasons.append(f"{name}: it ended more than a day ago")
-        if len(peaks) > LIMIT:
-            reasons.append(f"{name}: {LIMIT} announcements stand; no more are taken")
+        if len(peaks) > MAX_ANNOUNCEMENTS:
+            reasons.append(f"{name}: {MAX_ANNOUNCEMENTS} announcements exist; no more are accepted")
         if reasons and what != "cancelled":
             raise Refused(reasons)
         self.version += 1
@@ -104,15 +113,15 @@
         return self.version
 
     def record_change_id(self, id):
-        """The version that stands now was asked for under this id: asked for again, it is not made again."""
+        """Records that the change with this id made the current version, so that a retry is not applied again."""
         if id:
             self.done[id] = self.version
-            if len(self.done) > DONE:
+            if len(self.done) > MAX_CHANGE_IDS:
                 del self.done[next(iter(self.done))]
 
 
 class KeptBook(msgspec.Struct, array_like=True):
-    """A version as it is kept: on the service's log, and at managers."""
+    """A version as stored in the service's log and at managers."""
 
     shape: int
     epoch: str
@@ -123,9 +132,10 @@
 
 
 def encode(epoch, book):
+    """The stored form of a version."""
     return msgspec.msgpack.encode(
         KeptBook(
-            SHAPE,
+            FORMAT_VERSION,
             epoch,
             book.version,
             list(book.peaks.values()),
@@ -136,20 +146,20 @@
 
 
 def decode(data):
-    """(epoch, PeakBook). ValueError where it is none of a shape that this program knows."""
-    kept = decoded(data, KeptBook, SHAPE, "announcements")
+    """(epoch, PeakBook) of stored bytes. Raises ValueError for an unknown format."""
+    kept = decoded(data, KeptBook, FORMAT_VERSION, "announcements")
     return kept.epoch, PeakBook(kept.version, kept.peaks, [Change(*c) for c in kept.history], kept.done)
 
 
 class Follower:
-    """A manager's side: whole versions in any order and from any service; the last good one is kept."""
+    """Manager side: receives complete versions in any order and from any service; keeps the last valid one."""
 
     def __init__(self, check=lambda peaks: ()):
-        """check(peaks) gives (name, detail) of what this manager can't go by: that version is refused."""
+        """check(peaks) returns (name, detail) of announcements that this manager can't use; that version is refused."""
         self.check, self.epoch, self.version, self.peaks = check, None, None, ()
 
     def apply(self, epoch, version, peaks):
-        """True where the announcements moved; False: known before. ValueError: refused, all as it was."""
+        """True if the announcements changed, False if the version is known. Raises ValueError if it is refused."""
         if epoch == self.epoch and self.version is not None and version <= self.version:
             return False
         if found := list(self.check(peaks)):
--- a/flaxscale/peaks/times.py
+++ b/flaxscale/peaks/times.py
@@ -1,4 +1,4 @@
-"""Times of announcements as people write them: ISO 8601 (RFC 3339, section 5.6) with an offset, or a span from now."""
+"""Times of announcements as text: ISO 8601 with an offset (RFC 3339, section 5.6), or a duration from now."""
 
 import datetime
 import re
@@ -7,14 +7,14 @@
 
 from .announce import Announcement
 
-SPAN = re.compile(r"\+(\d+(?:\.\d+)?)(s|m|h|d)")
-UNITS = {"s": 1.0, "m": 60.0, "h": 3600.0, "d": 86_400.0}
+DURATION = re.compile(r"\+(\d+(?:\.\d+)?)(s|m|h|d)")
+UNIT_SECONDS = {"s": 1.0, "m": 60.0, "h": 3600.0, "d": 86_400.0}
 
 
 def parse_time(text, now_s):
-    """Unix seconds. '2026-12-05T18:00:00+03:00', or '+90s', '+15m', '+2h', '+1d' from now. ValueError otherwise."""
-    if match := SPAN.fullmatch(text.strip()):
-        return now_s + float(match[1]) * UNITS[match[2]]
+    """Unix seconds of '2026-12-05T18:00:00+03:00', or of '+90s', '+15m', '+2h', '+1d' from now; else ValueError."""
+    if match := DURATION.fullmatch(text.strip()):
+        return now_s + float(match[1]) * UNIT_SECONDS[match[2]]
     try:
         time = datetime.datetime.fromisoformat(text.strip())
     except ValueError:
@@ -25,11 +25,12 @@
 
 
 def format_time(s):
+    """Unix seconds as a time in UTC, to the second."""
     return datetime.datetime.fromtimestamp(s, datetime.timezone.utc).strftime("%Y-%m-%dT%H:%M:%SZ")
 
 
 class PeakRow(msgspec.Struct, forbid_unknown_fields=True):
-    """An announcement in a file. start, end: times as parse_time takes them, with an offset."""
+    """An announcement in a site file. start, end: times for parse_time."""
 
     name: str
     start: str
@@ -44,6 +45,7 @@
     lead_s: float = 15.0
 
     def announcement(self, now_s=0.0):
+        """The Announcement, with times as Unix seconds."""
         return Announcement(
             self.name,
             self.titles,
--- a/flaxscale/peaks/wire.py
+++ b/flaxscale/peaks/wire.py
@@ -1,10 +1,11 @@
-"""Announcements as protobuf, and back."""
+"""Converts announcements to protobuf and back."""
 
 from ..proto import peaks_pb2 as pb
 from .announce import Announcement, BoxRoom
 
 
 def peak_out(p):
+    """The protobuf message of an Announcement."""
     return pb.Peak(
         name=p.name,
         titles=p.titles,
@@ -22,6 +23,7 @@
 
 
 def peak_in(p):
+    """The Announcement of a protobuf message."""
     return Announcement(
         p.name,
         tuple(p.titles),
