--- a/flaxscale/peaks/plan.py
+++ b/flaxscale/peaks/plan.py
@@ -1,12 +1,13 @@
-"""Plans the room for announced peaks by a linear program over boxes and time (HiGHS, by way of scipy).
+"""Plans the reservations for announced peaks by a linear program over boxes and time steps (HiGHS, through scipy).
 
-In each step of time the plan says how many kB a second of each box a peak's viewings get. What it maximizes is worth:
-the peak's viewings at the rung that room is kept for, ordinary demand at its floor and above it. It is held to links
-as they warm, to uplinks, to the pace of cold boxes, to the share of a link that may be kept at all, and to viewings
-that stay where they began: what a box carries falls no faster than viewings end.
+For each step of time the plan states how many kB a second of each box the viewings of a peak get. The objective is the
+worth of what is served: viewings of peaks at the rung of the reservation, ordinary demand at its floor and above it.
+The constraints are the capacities of links (reduced while boxes warm up) and uplinks, the pace of session requests to
+cold boxes, the share of a link that may be reserved, and that viewings stay on their box: the load of a box falls no
+faster than viewings end.
 
-It states what does not fit, by how much, which further holders would help, which boxes to warm and by when. It is
-advice with a date: managers go by it where it is there, and by links alone where it came late or not at all.
+The plan reports what does not fit, by how much, which further copies would help, and which boxes to warm and by when.
+It is advice: managers use it where it is available and otherwise divide the bandwidth by link capacity.
 """
 
 import math
@@ -25,76 +26,84 @@
 from .lengths import fit
 from .times import format_time
 
-STEPS = 40  # steps of time at most; each is at least LEAST_STEP_S
-LEAST_STEP_S = 2.0
-BRIM = 0.95  # of a link or uplink is planned for
-GROUPS = 60  # ordinary titles with the same holders go together; beyond so many the rest as one
-AWAY = 1e-3  # of a kB's worth: less on a box that would need a copy first
-LEAD_MOST = 120.0  # seconds; longer, and ordinary viewings pay for room that nobody uses
+MAX_STEPS = 40  # time steps of a plan; each is at least MIN_STEP_S long
+MIN_STEP_S = 2.0
+MAX_PLANNED_SHARE = 0.95  # of a link or uplink
+MAX_ORDINARY_GROUPS = 60  # ordinary titles are grouped by holders; the smallest groups beyond this number are merged
+NEW_COPY_PENALTY = 1e-3  # share of the worth that is lost on a box that would need a copy first
+MAX_LEAD_S = 120.0  # with a longer lead, reservations that nobody uses yet would displace ordinary viewings
 
 
 class BoxInput(msgspec.Struct, forbid_unknown_fields=True):
+    """One box in a question."""
+
     id: int
     link_kb: float
     rack: int = 0
     slots: int = 1000
-    up_s: float = 1e9  # how long it has been up; less than the site's warm-up: it is cold
-    spare: bool = False  # not in service: it may be started for the peak
+    up_s: float = 1e9  # time since its start; cold if less than the site's warm-up time
+    spare: bool = False  # not in service, but may be started for the peak
 
 
 class Question(msgspec.Struct, forbid_unknown_fields=True):
-    """What the planner can't see: the fleet, what is asked besides, how long viewings were lately."""
+    """Input that only the operator has: the fleet, ordinary demand, durations of recent viewings."""
 
     site: Site
     boxes: list[BoxInput]
-    demand: dict[str, float] = {}  # ordinary, by title: kB a second
-    lengths: list[float] = []  # seconds of recent viewings
-    uplinks: dict[str, float] = {}  # by rack; the site's own where left out
+    demand: dict[str, float] = {}  # ordinary demand by title, in kB a second
+    lengths: list[float] = []  # durations of recent viewings, in seconds
+    uplinks: dict[str, float] = {}  # kB a second by rack; by default as in the site
 
 
 class PlanRequest(NamedTuple):
+    """All input of a plan."""
+
     question: Question
     peaks: tuple  # Announcements, on one axis with now_s
-    held: dict  # title: boxes that hold it
-    package: dict  # title: package of those who watch
+    held: dict  # {title: boxes that hold it}
+    package: dict  # {title: package of its viewers}
     now_s: float
-    seen: dict = {}  # peak: what came of what was due, as managers saw it
-    seconds: float = 30.0
+    seen: dict = {}  # {peak: arrivals observed by managers, as a share of those announced}
+    seconds: float = 30.0  # time limit of the solver
 
 
-class Short(msgspec.Struct):
+class Shortage(msgspec.Struct):
     """A peak that does not fit."""
 
     peak: str
-    at_s: float  # when it is worst
-    kb: float  # kB a second that find no room then
+    at_s: float  # when the shortage is largest
+    kb: float  # kB a second that do not fit at that time
     viewings: float
-    holders: list[tuple[str, int]]  # (title, box): copies that would help, most first
-    still_kb: float  # what finds no room even with them: links and uplinks are full
-    boxes: int  # so many more boxes of the mean link would carry that
+    holders: list[tuple[str, int]]  # (title, box): copies that would help, most effective first
+    still_kb: float  # kB a second that do not fit even with them, because links and uplinks are full
+    boxes: int  # number of further boxes with the mean link capacity that would carry the rest
+
 
+class WarmUp(msgspec.Struct):
+    """A box that has to be warm in time."""
 
-class Warm(msgspec.Struct):
     box: int
-    by_s: float  # when it must be started, or is warm
-    pace: float  # set-ups a second that all managers together may send it meanwhile
+    by_s: float  # latest time at which it must be started
+    pace: float  # limit for session requests a second from all managers together while it warms up
     spare: bool
 
 
 class Plan(msgspec.Struct):
+    """The result: schedules by peak, and what the operator should do."""
+
     schedules: dict[str, tuple[BoxRoom, ...]]
     leads: dict[str, float]
-    short: list[Short]
-    warm: list[Warm]
-    steps_down_s: float | None  # from when ordinary viewings must get less than they ask
-    steps_down_kb: float  # and how much less, at the worst
-    length: str  # the fitted distribution, in words
+    short: list[Shortage]
+    warm: list[WarmUp]
+    steps_down_s: float | None  # time from which ordinary viewings get less than their demand
+    steps_down_kb: float  # largest reduction, in kB a second
+    length: str  # description of the fitted distribution
     began_s: float
     step_s: float
 
 
 def read_question(file):
-    """The Question of a Jsonnet file, or SiteError."""
+    """The Question in a Jsonnet file; raises SiteError if it is invalid."""
     asked = shape(file, evaluate(file), Question)
     checked(file, asked.site, "site.")
     seen = set()
@@ -115,41 +124,46 @@
     return asked
 
 
-class Group:
-    """Demand that can go to the same boxes: ordinary titles, or one title of a peak."""
+class DemandGroup:
+    """Demand with the same possible boxes: ordinary titles, or one title of a peak."""
 
-    def __init__(self, boxes, kb, worth, peak=None, title=None, each=0.0, stays=0.0):
-        """kb: per step, kB a second asked. worth: of a kB. stays: the part that still plays a step later."""
+    def __init__(self, boxes, kb, worth, peak=None, title=None, kb_each=0.0, continuing=0.0):
+        """kb: demand per step, in kB a second. worth: of one kB. continuing: share that still plays one step later."""
         self.boxes, self.kb, self.worth, self.peak, self.title = boxes, kb, worth, peak, title
-        self.each, self.stays = each, stays
+        self.kb_each, self.continuing = kb_each, continuing
 
 
-class Program:
-    """The linear program: columns are kB a second of a group at a box in a step."""
+class LinearProgram:
+    """The linear program. Its variables (columns) are kB a second of a group at a box in a step."""
 
     def __init__(self, step_s):
         self.step_s = step_s
-        self.columns, self.gain, self.keys = {}, [], []
-        self.rows, self.cols, self.values, self.limits = [], [], [], []
+        self.columns, self.worths, self.keys = {}, [], []
+        self.row_numbers, self.row_columns, self.row_values, self.limits = [], [], [], []
 
-    def column(self, key, gain):
-        self.columns[key] = len(self.gain)
-        self.gain.append(gain)
+    def column(self, key, worth):
+        """Adds a variable with its coefficient in the objective; returns its number."""
+        self.columns[key] = len(self.worths)
+        self.worths.append(worth)
         self.keys.append(key)
         return self.columns[key]
 
     def row(self, pairs, limit):
+        """Adds a constraint: the sum of (column, coefficient) terms is at most limit."""
         n = len(self.limits)
         for column, value in pairs:
-            self.rows.append(n)
-            self.cols.append(column)
-            self.values.append(value)
+            self.row_numbers.append(n)
+            self.row_columns.append(column)
+            self.row_values.append(value)
         self.limits.append(limit)
 
     def solve(self, seconds):
-        matrix = coo_array((self.values, (self.rows, self.cols)), shape=(len(self.limits), len(self.gain))).tocsr()
+        """The values of the variables; raises ValueError if none are found within the time limit."""
+        matrix = coo_array(
+            (self.row_values, (self.row_numbers, self.row_columns)), shape=(len(self.limits), len(self.worths))
+        ).tocsr()
         found = linprog(
-            -numpy.array(self.gain),
+            -numpy.array(self.worths),
             A_ub=matrix,
             b_ub=numpy.array(self.limits),
             bounds=(0, None),
@@ -161,24 +175,24 @@
         return found.x
 
 
-def warmed(box, rules, s_from_now):
-    """The share of its link that a box gives then, and whether it is cold."""
+def warm_capacity(box, rules, s_from_now):
+    """The usable share of a box's link at a time from now, and whether the box is still cold then."""
     age = (box.up_s if not box.spare else 0.0) + s_from_now
-    whole = rules.warm_within_ms / 1000
+    warm_s = rules.warm_within_ms / 1000
     return (
         (1.0, False)
-        if age >= whole
-        else (rules.start_capacity + (1 - rules.start_capacity) * max(0.0, age) / whole, True)
+        if age >= warm_s
+        else (rules.start_capacity + (1 - rules.start_capacity) * max(0.0, age) / warm_s, True)
     )
 
 
-def pace(box, rules):
-    """Set-ups a second that all managers together may send a box just started: half of what pushes it over."""
+def warm_up_pace(box, rules):
+    """Limit for session requests a second to a box just started: half of the rate that overloads it."""
     return 0.5 * rules.tip_multiple * rules.start_capacity * box.slots / (rules.warm_within_ms / 1000)
 
 
-def ordinary(question, held, package, titles_of_peaks, steps):
-    """Groups of ordinary demand: each in two parts, what the floor needs and what lies above it."""
+def ordinary_groups(question, held, package, titles_of_peaks, steps):
+    """Groups of ordinary demand, each split into the demand at the floor rung and the rest above it."""
     site, by_boxes = question.site, {}
     ladder = site.ladder
     for title, kb in question.demand.items():
@@ -196,146 +210,152 @@
             sums[2] += kb * (1 - part)
             sums[3] += kb * (1 - part) * row.value * (ladder.worth[top] - ladder.worth[row.floor]) / (high - low)
     ranked = sorted(by_boxes.items(), key=lambda item: (-item[1][0] - item[1][2], sorted(item[0])))
-    if len(ranked) > GROUPS:  # the small rest as one: it may go wherever any of it may
-        rest = [sum(sums[i] for _, sums in ranked[GROUPS:]) for i in range(4)]
-        ranked = [*ranked[:GROUPS], (frozenset().union(*(boxes for boxes, _ in ranked[GROUPS:])), rest)]
+    if len(ranked) > MAX_ORDINARY_GROUPS:  # merges the small rest; it may use every box that any of its groups may use
+        rest = [sum(sums[i] for _, sums in ranked[MAX_ORDINARY_GROUPS:]) for i in range(4)]
+        ranked = [
+            *ranked[:MAX_ORDINARY_GROUPS],
+            (frozenset().union(*(boxes for boxes, _ in ranked[MAX_ORDINARY_GROUPS:])), rest),
+        ]
     for boxes, (low_kb, low_worth, high_kb, high_worth) in ranked:
         for kb, worth in ((low_kb, low_worth), (high_kb, high_worth)):
             if kb > 0:
-                yield Group(boxes, [kb] * steps, worth / kb)
+                yield DemandGroup(boxes, [kb] * steps, worth / kb)
 
 
-def of_peak(p, ask, times, step_s, mean_s):
-    """Groups of a peak: one a title, one a package."""
-    site, room_kb = ask.question.site, bandwidth_function(ask.question.site)
+def peak_groups(p, request, times, step_s, mean_s):
+    """Groups of a peak: one for each title and package."""
+    site, room_kb = request.question.site, bandwidth_function(request.question.site)
     parts = len(p.titles) + len(p.packages)
-    everywhere = {b.id for b in ask.question.boxes}
-    believed = min(2.0, ask.seen.get(p.name, 1.0))
+    everywhere = {b.id for b in request.question.boxes}
+    arrival_ratio = min(2.0, request.seen.get(p.name, 1.0))
     for title in [*p.titles, *p.packages]:
-        package = ask.package.get(title, title)
+        package = request.package.get(title, title)
         if package not in site.packages:
             continue
-        boxes = frozenset(ask.held.get(title, ()) if title in p.titles else everywhere)
+        boxes = frozenset(request.held.get(title, ()) if title in p.titles else everywhere)
         row = site.packages[package]
         rung = max(p.rung, row.floor)
-        viewings = [p.viewings_at(s + step_s) / parts * believed for s in times]
+        viewings = [p.viewings_at(s + step_s) / parts * arrival_ratio for s in times]
         most = max(viewings, default=0.0)
-        each = room_kb(package, p.rung, most, max(1, len(boxes))) / most if most else 0.0
-        yield Group(
+        kb_each = room_kb(package, p.rung, most, max(1, len(boxes))) / most if most else 0.0
+        yield DemandGroup(
             boxes,
-            [n * each for n in viewings],
-            row.value * site.ladder.worth[rung] / max(each, 1e-9) * p.sure,
+            [n * kb_each for n in viewings],
+            row.value * site.ladder.worth[rung] / max(kb_each, 1e-9) * p.sure,
             p.name,
             title,
-            each,
+            kb_each,
             math.exp(-step_s / mean_s),
         )
 
 
-def build(ask, groups, times, step_s, free=False):
-    """The program for these groups. free: titles of peaks may stand on every box."""
-    question, made = ask.question, Program(step_s)
+def build_program(request, groups, times, step_s, anywhere=False):
+    """The program for these groups. anywhere: titles of peaks may use every box."""
+    question, program = request.question, LinearProgram(step_s)
     rules, boxes = question.site.rules, {b.id: b for b in question.boxes}
     at_box, at_rack, peaks_at = {}, {}, {}
     for g, group in enumerate(groups):
-        allowed = set(boxes) if free and group.peak else group.boxes & set(boxes)
+        allowed = set(boxes) if anywhere and group.peak else group.boxes & set(boxes)
         for t in range(len(times)):
             served = []
             for b in sorted(allowed):
                 if boxes[b].spare and not group.peak:
                     continue
-                away = AWAY * group.worth if b not in group.boxes else 0.0
-                column = made.column((g, b, t), group.worth - away)
+                penalty = NEW_COPY_PENALTY * group.worth if b not in group.boxes else 0.0
+                column = program.column((g, b, t), group.worth - penalty)
                 served.append((column, 1.0))
                 at_box.setdefault((b, t), []).append((column, 1.0))
                 at_rack.setdefault((boxes[b].rack, t), []).append((column, 1.0))
                 if group.peak:
                     peaks_at.setdefault((b, t), []).append((column, 1.0))
-                    before = made.columns.get((g, b, t - 1))
-                    if before is not None:  # what plays there plays on
-                        made.row([(before, group.stays), (column, -1.0)], 0.0)
-                    if warmed(boxes[b], rules, times[t] - ask.now_s)[1] and group.each:
-                        new = pace(boxes[b], rules) * step_s * group.each
-                        made.row([(column, 1.0), *([(before, -group.stays)] if before is not None else [])], new)
+                    before = program.columns.get((g, b, t - 1))
+                    if before is not None:  # viewings stay on their box until they end
+                        program.row([(before, group.continuing), (column, -1.0)], 0.0)
+                    if warm_capacity(boxes[b], rules, times[t] - request.now_s)[1] and group.kb_each:
+                        new = warm_up_pace(boxes[b], rules) * step_s * group.kb_each
+                        program.row(
+                            [(column, 1.0), *([(before, -group.continuing)] if before is not None else [])], new
+                        )
             if served:
-                made.row(served, group.kb[t])
+                program.row(served, group.kb[t])
     for (b, t), pairs in at_box.items():
-        link = boxes[b].link_kb * warmed(boxes[b], rules, times[t] - ask.now_s)[0]
-        made.row(pairs, BRIM * link)
+        link = boxes[b].link_kb * warm_capacity(boxes[b], rules, times[t] - request.now_s)[0]
+        program.row(pairs, MAX_PLANNED_SHARE * link)
         if (b, t) in peaks_at:
-            made.row(peaks_at[b, t], MAX_RESERVED_SHARE * link)
+            program.row(peaks_at[b, t], MAX_RESERVED_SHARE * link)
     for (rack, t), pairs in at_rack.items():
-        made.row(pairs, BRIM * question.uplinks.get(str(rack), question.site.fleet.uplink_kb))
-    return made
+        program.row(pairs, MAX_PLANNED_SHARE * question.uplinks.get(str(rack), question.site.fleet.uplink_kb))
+    return program
 
 
-def served_of(made, x, groups, steps):
-    """{group: [kB a second carried, by step]}."""
-    out = [[0.0] * steps for _ in groups]
-    for (g, _, t), kb in zip(made.keys, x):
-        out[g][t] += float(kb)
-    return out
+def served_by_group(program, solution, groups, steps):
+    """For each group, the served kB a second by step."""
+    served = [[0.0] * steps for _ in groups]
+    for (g, _, t), kb in zip(program.keys, solution):
+        served[g][t] += float(kb)
+    return served
 
 
-def plan_peaks(ask):
-    """The Plan. SiteError where there is nothing to plan from."""
-    question = ask.question
+def plan_peaks(request):
+    """Makes the Plan; raises SiteError if the input does not suffice for one."""
+    question = request.question
     try:
-        fitted = fit(question.lengths) if question.lengths else fit([p.length_s for p in ask.peaks])
-        return planned(ask, fitted)
-    except ValueError as bad:
-        raise SiteError("the question", "", str(bad)) from None
+        fitted = fit(question.lengths) if question.lengths else fit([p.length_s for p in request.peaks])
+        return make_plan(request, fitted)
+    except ValueError as error:
+        raise SiteError("the question", "", str(error)) from None
 
 
-def planned(ask, fitted):
-    question = ask.question
+def make_plan(request, fitted):
+    """The Plan for a distribution of viewing lengths."""
+    question = request.question
     lead = fitted.lead_s() if question.lengths else None
-    leads = {p.name: min(lead, LEAD_MOST) if lead is not None else p.lead_s for p in ask.peaks}
-    first = max(ask.now_s, min(p.start_s - leads[p.name] for p in ask.peaks))
-    last = max(p.end_s for p in ask.peaks)
-    step_s = max(LEAST_STEP_S, (last - first) / STEPS)
+    leads = {p.name: min(lead, MAX_LEAD_S) if lead is not None else p.lead_s for p in request.peaks}
+    first = max(request.now_s, min(p.start_s - leads[p.name] for p in request.peaks))
+    last = max(p.end_s for p in request.peaks)
+    step_s = max(MIN_STEP_S, (last - first) / MAX_STEPS)
     times = [first + n * step_s for n in range(max(1, math.ceil((last - first) / step_s)))]
-    wanted = {t for p in ask.peaks for t in p.titles}
-    groups = list(ordinary(question, ask.held, ask.package, wanted, len(times)))
-    for p in ask.peaks:
-        groups += of_peak(p, ask, times, step_s, p.length_s)
-    made = build(ask, groups, times, step_s)
-    x = made.solve(ask.seconds)
-    served = served_of(made, x, groups, len(times))
-    schedules = schedules_of(ask, made, x, groups, times, leads)
+    peak_titles = {t for p in request.peaks for t in p.titles}
+    groups = list(ordinary_groups(question, request.held, request.package, peak_titles, len(times)))
+    for p in request.peaks:
+        groups += peak_groups(p, request, times, step_s, p.length_s)
+    program = build_program(request, groups, times, step_s)
+    solution = program.solve(request.seconds)
+    served = served_by_group(program, solution, groups, len(times))
+    schedules = build_schedules(request, program, solution, groups, times, leads)
     short = []
-    for p in ask.peaks:
+    for p in request.peaks:
         own = [g for g, group in enumerate(groups) if group.peak == p.name]
         gaps = [sum(groups[g].kb[t] - served[g][t] for g in own) for t in range(len(times))]
         worst = max(range(len(times)), key=gaps.__getitem__)
         asked = sum(groups[g].kb[worst] for g in own)
         if gaps[worst] > 0.01 * asked + 1:
-            short.append(shortage(ask, p, groups, times, step_s, worst, gaps[worst], own))
-    down_at, down_kb = stepped_down(groups, served, times)
+            short.append(find_shortage(request, p, groups, times, step_s, worst, gaps[worst], own))
+    step_down_s, step_down_kb = find_step_down(groups, served, times)
     return Plan(
         schedules,
         leads,
         short,
-        to_warm(ask, schedules, times),
-        down_at,
-        down_kb,
+        to_warm(request, schedules, times),
+        step_down_s,
+        step_down_kb,
         f"{fitted.shape}, mean {fitted.mean_s:.1f} s, {fitted.count} viewings, off by {fitted.off:.3f}",
         first,
         step_s,
     )
 
 
-def schedules_of(ask, made, x, groups, times, leads):
-    """{peak: rooms by box}: what is needed within the lead is kept already."""
+def build_schedules(request, program, solution, groups, times, leads):
+    """{peak: reservations by box}; each reserves now what is needed within the lead."""
     out = {}
-    for p in ask.peaks:
+    for p in request.peaks:
         rooms = {}
-        for (g, b, t), kb in zip(made.keys, x):
+        for (g, b, t), kb in zip(program.keys, solution):
             if groups[g].peak == p.name and kb > 0.5:
                 rooms.setdefault(b, [0.0] * len(times))[t] += float(kb)
         totals = [sum(kbs[t] for kbs in rooms.values()) for t in range(len(times))]
-        # What is kept is what the fullest step within the lead has, box by box: it fits together.
-        ahead = max(1, math.ceil(leads[p.name] / made.step_s))
+        # Each box reserves its part of the step with the largest total within the lead, so the parts fit together.
+        ahead = max(1, math.ceil(leads[p.name] / program.step_s))
         fullest = [
             max(range(t, min(t + ahead + 1, len(times))), key=lambda n: (round(totals[n]), -n))
             for t in range(len(times))
@@ -353,45 +373,45 @@
     return out
 
 
-def shortage(ask, p, groups, times, step_s, worst, gap, own):
-    """What a peak lacks, and what it would take."""
-    made = build(ask, groups, times, step_s, free=True)
-    x = made.solve(ask.seconds)
+def find_shortage(request, p, groups, times, step_s, worst, gap, own):
+    """The Shortage of a peak: what does not fit and what would help."""
+    program = build_program(request, groups, times, step_s, anywhere=True)
+    solution = program.solve(request.seconds)
     use = {}
-    for (g, b, t), kb in zip(made.keys, x):
+    for (g, b, t), kb in zip(program.keys, solution):
         if g in own and b not in groups[g].boxes and groups[g].title in p.titles:
             use[groups[g].title, b] = max(use.get((groups[g].title, b), 0.0), float(kb))
     holders = [key for key, kb in sorted(use.items(), key=lambda item: (-item[1], item[0])) if kb > 1]
-    served = served_of(made, x, groups, len(times))
-    still = max(0.0, sum(groups[g].kb[worst] - served[g][worst] for g in own))
-    each = max(groups[g].each for g in own)
-    # Fewer copies may do: as many of the most used as carry what the free placement carried beyond the present one.
-    need, chosen = gap - still, []
+    served = served_by_group(program, solution, groups, len(times))
+    unplaced_kb = max(0.0, sum(groups[g].kb[worst] - served[g][worst] for g in own))
+    kb_each = max(groups[g].kb_each for g in own)
+    # Not all copies may be needed: takes the most used ones until they carry what unrestricted placement gains.
+    missing_kb, chosen = gap - unplaced_kb, []
     for key in holders:
-        if need <= 0:
+        if missing_kb <= 0:
             break
         chosen.append(key)
-        need -= use[key]
-    mean = sum(b.link_kb for b in ask.question.boxes) / len(ask.question.boxes)
-    more = math.ceil(still / (MAX_RESERVED_SHARE * mean)) if still > 0.01 * gap + 1 else 0
-    return Short(p.name, times[worst], gap, gap / max(each, 1e-9), chosen, still if more else 0.0, more)
+        missing_kb -= use[key]
+    mean = sum(b.link_kb for b in request.question.boxes) / len(request.question.boxes)
+    more = math.ceil(unplaced_kb / (MAX_RESERVED_SHARE * mean)) if unplaced_kb > 0.01 * gap + 1 else 0
+    return Shortage(p.name, times[worst], gap, gap / max(kb_each, 1e-9), chosen, unplaced_kb if more else 0.0, more)
 
 
-def stepped_down(groups, served, times):
-    """(from when, how much at the worst): ordinary demand that gets less than it asks."""
-    at, most = None, 0.0
+def find_step_down(groups, served, times):
+    """(time of the first reduction of ordinary demand, largest reduction in kB a second)."""
+    since, largest = None, 0.0
     for t, s in enumerate(times):
         less = sum(g.kb[t] - served[n][t] for n, g in enumerate(groups) if g.peak is None)
         asked = sum(g.kb[t] for g in groups if g.peak is None)
         if less > 0.005 * asked + 1:
-            at = s if at is None else at
-            most = max(most, less)
-    return at, most
+            since = s if since is None else since
+            largest = max(largest, less)
+    return since, largest
 
 
-def to_warm(ask, schedules, times):
-    """Cold or spare boxes that the plan uses, and by when each must be started."""
-    rules, boxes, out = ask.question.site.rules, {b.id: b for b in ask.question.boxes}, []
+def to_warm(request, schedules, times):
+    """The cold and spare boxes that the plan uses, with the time by which each must be started."""
+    rules, boxes, out = request.question.site.rules, {b.id: b for b in request.question.boxes}, []
     needed = {}
     for rooms in schedules.values():
         for room in rooms:
@@ -401,12 +421,12 @@
     for b, first in sorted(needed.items()):
         box = boxes[b]
         if box.spare or box.up_s < rules.warm_within_ms / 1000:
-            out.append(Warm(b, first - rules.warm_within_ms / 1000, round(pace(box, rules), 2), box.spare))
+            out.append(WarmUp(b, first - rules.warm_within_ms / 1000, round(warm_up_pace(box, rules), 2), box.spare))
     return out
 
 
-def lines(plan):
-    """The plan in words."""
+def plan_lines(plan):
+    """Yields the lines of a report on the plan."""
     yield f"lengths of viewings: {plan.length}; steps of {plan.step_s:.1f} s"
     for name, rooms in plan.schedules.items():
         most = sum(max((kb for _, kb in room.steps), default=0.0) for room in rooms)
