--- a/tests/test_peaks.py
+++ b/tests/test_peaks.py
@@ -1,4 +1,4 @@
-"""Announced peaks: what can't be is refused by name, room is kept ahead, moves, and is handed back. No sockets."""
+"""Announced peaks without sockets: validation, and reservations made ahead, moved and released."""
 
 import unittest
 
@@ -20,36 +20,36 @@
     return Announcement(**{**row, **changes})
 
 
-class Keeping(unittest.TestCase):
-    def keeper(self, *peaks, holders=(1, 2, 3, 4)):
+class ReserverTest(unittest.TestCase):
+    def reserver(self, *peaks, holders=(1, 2, 3, 4)):
         self.boxes = list(holders)
         fleet = PeakEnvironment(lambda title, rung, n, boxes: 100.0 * n, lambda title: self.boxes, 2, 1e9)
         return PeakReserver(peaks or (peak(),), fleet)
 
-    def servers(self, *gone):
+    def servers(self, *failed):
         return {
             n: (
-                interface.ServerEntry(n, 0, n, 0, 1.0, 0, ServerStatus.GONE if n in gone else ServerStatus.READY),
+                interface.ServerEntry(n, 0, n, 0, 1.0, 0, ServerStatus.GONE if n in failed else ServerStatus.READY),
                 10_000.0,
             )
             for n in range(1, 5)
         }
 
-    def kb(self, keeper, s, *gone):
-        return sum(keeper.reserve(s, self.servers(*gone))[0].values())
+    def kb(self, reserver, s, *failed):
+        return sum(reserver.reserve(s, self.servers(*failed))[0].values())
 
-    def crowd(self, keeper, times=1.0, shift=0.0, until=200):
-        """What is kept each second while a crowd of this size comes so much later than announced."""
-        out, p = {}, keeper.peaks[0]
+    def reserved_by_second(self, reserver, times=1.0, shift=0.0, until=200):
+        """{second: kB reserved} while `times` the announced viewings arrive, `shift` seconds late."""
+        result, p = {}, reserver.peaks[0]
         for s in range(80, until):
-            due = p.arrivals_by(s - shift) * times
-            while keeper.arrivals[p.name] + 0.5 <= due:
-                keeper.record_request("cam", "live", 1)
-            out[s] = self.kb(keeper, s)
-        return out
-
-    def test_what_cannot_be_is_refused_by_name(self):
-        for change, said in (
+            expected = p.arrivals_by(s - shift) * times
+            while reserver.arrivals[p.name] + 0.5 <= expected:
+                reserver.record_request("cam", "live", 1)
+            result[s] = self.kb(reserver, s)
+        return result
+
+    def test_an_invalid_announcement_is_refused_by_name(self):
+        for change, reason in (
             (dict(end_s=100.0), "before or as it starts"),
             (dict(rate=-1.0), "a rate of -1"),
             (dict(titles=("none",)), "the title 'none' is not known"),
@@ -60,7 +60,7 @@
             (dict(length_s=0.0), "viewings of 0 s"),
         ):
             found = faults([peak(**change)], {"cam"}, 3)
-            self.assertTrue(any(name == "eid" and said in detail for name, detail in found), (said, found))
+            self.assertTrue(any(name == "eid" and reason in detail for name, detail in found), (reason, found))
         self.assertEqual([("eid", "a name of its own is needed")], faults([peak(), peak()], {"cam"}, 3))
         self.assertEqual([], faults([peak()], {"cam"}, 3))
 
@@ -70,44 +70,45 @@
             by_steps = sum(p.rate_at(x / 100) / 100 for x in range(9_000, s * 100))
             self.assertAlmostEqual(by_steps, p.arrivals_by(s), delta=0.05)
 
-    def test_room_is_ready_before_the_start_and_gone_at_the_end(self):
-        kept = self.crowd(self.keeper())
-        self.assertEqual(0, kept[int(100 - 15) - 1])
-        self.assertAlmostEqual(100 * peak().arrivals_by(99 + 15), kept[99], delta=1)  # who will watch by then
-        self.assertAlmostEqual(2.0 * 20 * 100, kept[130], delta=150)  # 40 viewings of 100 kB a second
-        self.assertEqual(0, kept[160])
-
-    def test_what_does_not_come_is_handed_back_along_its_curve(self):
-        none, half = self.crowd(self.keeper(), 0.0), self.crowd(self.keeper(), 0.5)
-        at = next(s for s in range(101, 160) if none[s] < none[s - 1] - 1)
+    def test_bandwidth_is_reserved_before_the_start_and_released_at_the_end(self):
+        reserved = self.reserved_by_second(self.reserver())
+        self.assertEqual(0, reserved[int(100 - 15) - 1])
+        # All viewings that are expected within the lead.
+        self.assertAlmostEqual(100 * peak().arrivals_by(99 + 15), reserved[99], delta=1)
+        self.assertAlmostEqual(2.0 * 20 * 100, reserved[130], delta=150)  # 40 viewings of 100 kB a second
+        self.assertEqual(0, reserved[160])
+
+    def test_the_reservation_for_missing_viewings_halves_with_its_half_life(self):
+        absent, half = self.reserved_by_second(self.reserver(), 0.0), self.reserved_by_second(self.reserver(), 0.5)
+        at = next(s for s in range(101, 160) if absent[s] < absent[s - 1] - 1)
         self.assertLess(at, 100 + START_GRACE_S + 12)
-        self.assertAlmostEqual(0.5, none[at + int(SHORTFALL_HALF_LIFE_S)] / none[at], delta=0.15)
-        self.assertLess(none[at + int(4 * SHORTFALL_HALF_LIFE_S)], 0.12 * none[at])
-        self.assertGreater(half[140], 0.45 * self.crowd(self.keeper())[140])
+        self.assertAlmostEqual(0.5, absent[at + int(SHORTFALL_HALF_LIFE_S)] / absent[at], delta=0.15)
+        self.assertLess(absent[at + int(4 * SHORTFALL_HALF_LIFE_S)], 0.12 * absent[at])
+        self.assertGreater(half[140], 0.45 * self.reserved_by_second(self.reserver())[140])
 
-    def test_a_crowd_that_is_late_finds_room_that_comes_back_as_it_comes(self):
-        late = self.crowd(self.keeper(), shift=10.0)
+    def test_the_reservation_grows_again_as_a_late_crowd_arrives(self):
+        late = self.reserved_by_second(self.reserver(), shift=10.0)
         self.assertLess(min(late[s] for s in range(112, 120)), 0.9 * late[135])
 
-    def test_room_moves_off_boxes_that_die_and_what_cannot_be_kept_is_said(self):
-        keeper = self.keeper(peak(rate=8.0))
-        before, _, _ = keeper.reserve(130, self.servers())
-        after, _, _ = keeper.reserve(130, self.servers(1))
+    def test_reservations_move_off_failed_boxes_and_what_does_not_fit_is_reported(self):
+        reserver = self.reserver(peak(rate=8.0))
+        before, _, _ = reserver.reserve(130, self.servers())
+        after, _, _ = reserver.reserve(130, self.servers(1))
         self.assertNotIn(1, after)
         self.assertAlmostEqual(sum(before.values()), sum(after.values()), delta=1)
-        keeper.reserve(130, self.servers(1, 2, 3))
-        self.assertGreater(keeper.unplaced_kb, 0)
-        self.assertLessEqual(max(keeper.reserve(130, self.servers(1, 2, 3))[0].values()), MAX_RESERVED_SHARE * 10_000)
-        self.assertEqual(0, self.kb(keeper, 130, 1, 2, 3, 4))
+        reserver.reserve(130, self.servers(1, 2, 3))
+        self.assertGreater(reserver.unplaced_kb, 0)
+        self.assertLessEqual(max(reserver.reserve(130, self.servers(1, 2, 3))[0].values()), MAX_RESERVED_SHARE * 10_000)
+        self.assertEqual(0, self.kb(reserver, 130, 1, 2, 3, 4))
 
-    def test_two_peaks_that_want_the_same_room_share_its_bound(self):
-        keeper = self.keeper(peak(rate=30.0), peak(name="two", rate=30.0))
-        rooms, _, _ = keeper.reserve(130, self.servers())
-        self.assertLessEqual(max(rooms.values()), MAX_RESERVED_SHARE * 10_000 + 1)
-        self.assertGreater(keeper.unplaced_kb, 0)
+    def test_two_peaks_on_the_same_boxes_share_the_limit(self):
+        reserver = self.reserver(peak(rate=30.0), peak(name="two", rate=30.0))
+        reservations, _, _ = reserver.reserve(130, self.servers())
+        self.assertLessEqual(max(reservations.values()), MAX_RESERVED_SHARE * 10_000 + 1)
+        self.assertGreater(reserver.unplaced_kb, 0)
 
 
-class Decided(Drive):
+class DecisionTest(Drive):
     def test_others_see_a_smaller_link_and_the_peaks_own_the_whole(self):
         self.start(pack(), servers=1)
         self.at(0, interface.PeakReservations({1: 500.0}, {7: 1}, {}), say="half of the link is kept for title 7")
--- a/tests/test_peaks_service.py
+++ b/tests/test_peaks_service.py
@@ -1,4 +1,4 @@
-"""Announcements in service: what is refused, versions, durability at every byte, clocks, and managers on sockets."""
+"""The announcement service: validation, versions, durability, clocks, and managers over sockets."""
 
 import asyncio
 import json
@@ -35,11 +35,11 @@
     return Announcement(**{**row, **changes})
 
 
-class Book(unittest.TestCase):
-    def test_announce_change_cancel_and_what_is_refused(self):
+class BookTest(unittest.TestCase):
+    def test_announce_change_cancel_and_refusals(self):
         book = PeakBook()
         self.assertEqual(1, book.announce(peak(), FRAME, 500.0, who="ops"))
-        for act, said in (
+        for act, reason in (
             (lambda: book.announce(peak(), FRAME, 500.0), "announced already"),
             (lambda: book.announce(peak("x", end_s=900.0), FRAME, 500.0), "before or as it starts"),
             (lambda: book.announce(peak("x", rate=-2.0), FRAME, 500.0), "a rate of -2"),
@@ -52,7 +52,7 @@
             (lambda: book.change("eid", {}, FRAME, 500.0), "nothing to change"),
             (lambda: book.cancel("none", FRAME, 500.0), "not announced"),
         ):
-            with self.assertRaisesRegex(Refused, said):
+            with self.assertRaisesRegex(Refused, reason):
                 act()
         self.assertEqual((1, {"eid": peak()}), (book.version, book.peaks))
         with self.assertRaises(Behind):
@@ -62,7 +62,7 @@
         book.cancel("eid", FRAME, 500.0, why="rain")
         self.assertEqual((3, {}, "cancelled"), (book.version, book.peaks, book.history[-1].what))
 
-    def test_a_schedule_goes_with_what_it_was_made_for(self):
+    def test_a_schedule_is_dropped_when_its_announcement_changes(self):
         book = PeakBook()
         book.announce(peak(), FRAME, 0.0)
         rooms = [{"box": 3, "steps": [[990.0, 40.0], [1010.0, 80.0]]}]
@@ -73,63 +73,63 @@
         with self.assertRaisesRegex(Refused, "times must rise"):
             book.change("eid", {"schedule": [{"box": 3, "steps": [[10.0, 1.0], [5.0, 1.0]]}]}, FRAME, 0.0)
 
-    def test_what_is_over_goes_by_itself_and_hinders_nothing(self):
+    def test_past_announcements_expire_and_block_no_change(self):
         book = PeakBook()
         book.announce(peak("old", titles=("tour",)), FRAME, 0.0)
-        gone = FRAME._replace(titles={"cam"})  # its title was dropped since
-        book.announce(peak("new", start_s=5000.0, end_s=5100.0), gone, 2000.0)
+        without_tour = FRAME._replace(titles={"cam"})  # the title of the past peak was dropped
+        book.announce(peak("new", start_s=5000.0, end_s=5100.0), without_tour, 2000.0)
         self.assertEqual({"old", "new"}, set(book.peaks))
         later = 1060.0 + KEEP_ENDED_S + 1
-        book.announce(peak("next", start_s=later + 9, end_s=later + 99), gone, later)
+        book.announce(peak("next", start_s=later + 9, end_s=later + 99), without_tour, later)
         self.assertEqual({"new", "next"}, set(book.peaks))
-        book.cancel("new", gone, later)
+        book.cancel("new", without_tour, later)
 
-    def test_a_crash_at_any_byte_loses_nothing_that_was_told(self):
+    def test_a_crash_at_any_byte_loses_no_acknowledged_version(self):
         def run(files):
-            """Announces until it dies; the last version that was durable."""
-            told = 0
+            """Announces until a crash; returns the last version that was durable."""
+            durable = 0
             try:
                 store, book = Log(files), PeakBook()
                 for n in range(6):
                     book.announce(peak(f"p{n}"), FRAME, 0.0)
                     store.append(encode("e", book))
                     store.commit()
-                    told = book.version
+                    durable = book.version
                     if n == 3:
                         store.snapshot(encode("e", book))
             except Crash:
                 pass
-            return told
+            return durable
 
-        whole = FaultyFiles()
-        self.assertEqual(6, run(whole))
-        for at in range(0, whole.steps, 29):
+        undisturbed = FaultyFiles()
+        self.assertEqual(6, run(undisturbed))
+        for at in range(0, undisturbed.steps, 29):
             files = FaultyFiles(crash_at=at)
-            told = run(files)
+            durable = run(files)
             for disk in files.survivors():
                 found = Log(FaultyFiles(disk)).found
                 kept = found.records[-1][1] if found.records else found.snapshot
                 version = decode(kept)[1].version if kept is not None else 0
-                self.assertIn(version, (told, told + 1), at)  # what was being written may have reached the disk
+                self.assertIn(version, (durable, durable + 1), at)  # what was being written may have reached the disk
 
     @given(st.lists(st.tuples(st.sampled_from("ab"), st.integers(1, 6)), max_size=12))
-    def test_any_delivery_leaves_the_newest_of_the_service_last_heard(self, told):
+    def test_in_any_order_of_delivery_the_newest_version_is_kept(self, deliveries):
         follower, newest = Follower(), {}
-        for epoch, version in told:
-            moved = follower.apply(epoch, version, [peak(f"{epoch}{version}")])
-            if moved:
+        for epoch, version in deliveries:
+            changed = follower.apply(epoch, version, [peak(f"{epoch}{version}")])
+            if changed:
                 newest = {epoch: version}
             self.assertEqual(newest.get(follower.epoch), follower.version)
             self.assertEqual(f"{follower.epoch}{follower.version}", follower.peaks[0].name)
 
-    def test_a_version_that_does_not_fit_is_refused_and_the_last_good_one_kept(self):
+    def test_an_invalid_version_is_refused_and_the_last_valid_one_kept(self):
         follower = Follower(lambda peaks: [(p.name, "no such rung") for p in peaks if p.rung > 3])
         follower.apply("e", 1, [peak()])
         with self.assertRaisesRegex(ValueError, "eid: no such rung"):
             follower.apply("e", 2, [peak(rung=4)])
         self.assertEqual((1, 1), (follower.version, follower.peaks[0].rung))
 
-    def test_kept_bytes_that_are_not_ours_are_refused(self):
+    def test_stored_bytes_of_an_unknown_format_are_refused(self):
         _, book = decode(encode("e", PeakBook(3, [peak()])))
         self.assertEqual((3, {"eid": peak()}), (book.version, book.peaks))
         with self.assertRaisesRegex(ValueError, "no announcements"):
@@ -137,7 +137,7 @@
         with self.assertRaisesRegex(ValueError, "shape 9"):
             decode(msgspec.msgpack.encode([9, "e", 1, [], []]))
 
-    def test_the_wire_carries_all_of_it(self):
+    def test_protobuf_preserves_all_fields(self):
         p = peak(
             titles=("cam", "tour"),
             packages=("live",),
@@ -151,18 +151,18 @@
         self.assertEqual(p, wire.peak_in(pb.Peak.FromString(wire.peak_out(p).SerializeToString())))
 
 
-class Clocks(unittest.TestCase):
-    def test_the_services_clock_counts_and_late_tellings_do_not_pull_it_back(self):
+class ClockTest(unittest.TestCase):
+    def test_the_services_clock_is_followed_and_late_readings_do_not_set_it_back(self):
         axis = Axis()
-        self.assertEqual(1000.0, axis.at(10.0, 1000.0))  # nothing heard: this machine's own
-        self.assertEqual(1005.0, axis.at(15.0, 99.0))  # its wall clock jumped an hour back: nothing moves
-        axis.add_reading(1009.5, 16.0)  # the service reads 3.5 s more
-        axis.add_reading(1010.0, 17.5)  # told a second late
+        self.assertEqual(1000.0, axis.at(10.0, 1000.0))  # no reading yet: this machine's wall clock
+        self.assertEqual(1005.0, axis.at(15.0, 99.0))  # its wall clock jumps back: no effect
+        axis.add_reading(1009.5, 16.0)  # the service's clock is 3.5 s ahead
+        axis.add_reading(1010.0, 17.5)  # a reading that arrives a second late
         self.assertEqual(1013.5, axis.at(20.0, 0.0))
-        axis.add_reading(4610.0, 18.0)  # the service's clock was set an hour on
+        axis.add_reading(4610.0, 18.0)  # the service's clock was set forward by an hour
         self.assertEqual(4612.0, axis.at(20.0, 0.0))
 
-    def test_times_as_people_write_them(self):
+    def test_time_formats(self):
         self.assertEqual(0.0, parse_time("1970-01-01T03:00:00+03:00", 9.0))
         self.assertEqual(99.0, parse_time("+1.5m", 9.0))
         self.assertEqual("2026-12-05T15:00:00Z", format_time(parse_time("2026-12-05T18:00:00+03:00", 0.0)))
@@ -171,7 +171,7 @@
                 parse_time(text, 0.0)
 
 
-class Sockets(Rig):
+class SocketTest(Rig):
     managers = 2
     titles = [
         Put("one", "clip", holders={"1": HOLDING, "2": HOLDING, "3": HOLDING}),
@@ -193,7 +193,7 @@
     def rooms(self, m):
         return self.fronts[m].peaks.state()["kept_kb"]
 
-    async def test_room_is_kept_and_goes_with_a_cancel(self):
+    async def test_bandwidth_is_reserved_until_a_cancel(self):
         reply = await self.announce()
         self.assertEqual((1, []), (reply.version, list(reply.faults)))
         await self.taken(1)
@@ -212,14 +212,14 @@
         self.assertEqual([0, 0], [self.rooms(m) for m in (0, 1)])
         self.assertEqual(0, module.servers[1].reserved_kb)
 
-    async def test_the_service_dies_and_the_announcement_lives_at_managers_and_in_its_store(self):
+    async def test_an_announcement_survives_a_failure_of_the_service(self):
         await self.announce()
         await self.taken(1)
         port = int(self.catalogue.split(":")[1])
         await self.service.stop()
         for log in self.log:
             await log.seen("peaks not followed")
-        await self.fronts[0].stop(0.1)  # restarted while the service is away
+        await self.fronts[0].stop(0.1)  # restarted while the service is down
         front = await self.start_front(0, listed=False)
         self.fronts.pop(0)
         self.log.pop(0)
@@ -231,7 +231,7 @@
         self.assertEqual(2, reply.version)
         await self.taken(2)
 
-    async def test_what_cannot_be_is_refused_by_name_and_nothing_moves(self):
+    async def test_invalid_changes_are_refused_by_name_and_change_nothing(self):
         for more, said in (
             (dict(end=-5.0, start=-10.0), "it ends"),
             (dict(end=-1.0), "before or as it starts"),
@@ -247,7 +247,7 @@
         self.assertIn("can't be read", reply.faults[0])
         self.assertIn("nothing to announce", (await self.say()).faults[0])
 
-    async def test_what_came_is_told_to_the_service(self):
+    async def test_arrivals_are_reported_to_the_service(self):
         await self.announce(start=-20.0, rate=1.0)
         await self.taken(1)
         await asyncio.gather(*(self.ask("cam", front=0) for _ in range(3)))
@@ -267,8 +267,8 @@
         self.assertEqual(6.0, seen["m0"]["eid"])  # three, times the two managers
 
 
-class Commands(unittest.TestCase):
-    def test_an_operators_day_with_a_peak(self):
+class CommandTest(unittest.TestCase):
+    def test_the_commands_of_an_operator(self):
         with tempfile.TemporaryDirectory() as folder:
             child = subprocess.Popen(
                 [
@@ -340,8 +340,8 @@
                 child.stdout.close()
 
 
-class Stated(Rig):
-    """A peak in the site file alone: no service is asked."""
+class SiteFileTest(Rig):
+    """A peak in the site file, without the service."""
 
     async def asyncSetUp(self):
         row = json.loads(self.terms)
@@ -359,7 +359,7 @@
         self.terms = json.dumps(row)
         await super().asyncSetUp()
 
-    async def test_room_is_kept_for_it(self):
+    async def test_bandwidth_is_reserved_for_it(self):
         await self.log[0].seen("room kept")
         state = self.fronts[0].peaks.state()
         self.assertGreater(state["kept_kb"], 0)
