--- a/flaxscale/cli/peaks.py
+++ b/flaxscale/cli/peaks.py
@@ -243,7 +243,8 @@
         for seen in m.seen:
             if seen.name == name:
                 click.echo(
-                    f"  {m.name}: keeps {seen.kept_kb:.0f} kB/s in all; {seen.came:.0f} came, {seen.due:.0f} were due"
+                    f"  {m.name}: reserves {seen.kept_kb:.0f} kB/s in all; "
+                    f"{seen.came:.0f} viewings arrived, {seen.due:.0f} were expected"
                 )
         if m.HasField("refused"):
             click.echo(f"  {m.name} refused version {m.refused}: {m.why}")
@@ -280,7 +281,7 @@
     seen = {name: sum(ratios) / len(ratios) for name, ratios in arrivals.items()}
     peaks = [p for p in map(wire.peak_in, reply.peaks) if p.end_s > reply.now_s]
     if not peaks:
-        click.echo("nothing is announced")
+        click.echo("no peak is announced")
         return 0
     began = time.perf_counter()
     result = site_errors(
--- a/flaxscale/peaks/book.py
+++ b/flaxscale/peaks/book.py
@@ -100,7 +100,7 @@
             if n == name or what != "cancelled"
         ]
         if what != "cancelled" and name in peaks and peaks[name].end_s <= now_s:
-            reasons.append(f"{name}: it ends {now_s - peaks[name].end_s:.0f} s ago")
+            reasons.append(f"{name}: it ended {now_s - peaks[name].end_s:.0f} s ago")
         if what != "cancelled" and name not in peaks:
             reasons.append(f"{name}: it ended more than a day ago")
         if len(peaks) > MAX_ANNOUNCEMENTS:
--- a/flaxscale/peaks/plan.py
+++ b/flaxscale/peaks/plan.py
@@ -113,13 +113,13 @@
         seen.add(box.id)
         if box.link_kb <= 0 or box.slots < 1:
             raise SiteError(file, f"boxes.{n}", "a link and slots over 0 expected")
-    for key, good, expected in (
+    for key, valid, expected in (
         ("boxes", asked.boxes, "at least one box"),
         ("demand", all(kb >= 0 for kb in asked.demand.values()), "0 or more each"),
         ("lengths", all(s > 0 for s in asked.lengths), "seconds over 0 each"),
         ("uplinks", all(r.isdigit() for r in asked.uplinks), "numbers of racks"),
     ):
-        if not good:
+        if not valid:
             raise SiteError(file, key, f"{expected} expected")
     return asked
 
@@ -362,12 +362,12 @@
         ]
         boxes = []
         for b, kbs in sorted(rooms.items()):
-            kept, steps = None, []
+            current_kb, steps = None, []
             for t, s in enumerate(times):
                 kb = round(kbs[fullest[t]], 1)
-                if kb != kept:
+                if kb != current_kb:
                     steps.append((round(s, 3), kb))
-                    kept = kb
+                    current_kb = kb
             boxes.append(BoxRoom(b, tuple(steps)))
         out[p.name] = tuple(boxes)
     return out
@@ -431,11 +431,12 @@
     for name, rooms in plan.schedules.items():
         most = sum(max((kb for _, kb in room.steps), default=0.0) for room in rooms)
         yield (
-            f"{name}: room on {len(rooms)} boxes, {most:.0f} kB/s at the most, kept from {plan.leads[name]:.0f} s ahead"
+            f"{name}: reservations on {len(rooms)} boxes, {most:.0f} kB/s at most, from {plan.leads[name]:.0f} s ahead"
         )
     for s in plan.short:
         yield (
-            f"{s.peak}: does not fit: {s.kb:.0f} kB/s ({s.viewings:.0f} viewings) find no room at {format_time(s.at_s)}"
+            f"{s.peak}: does not fit: {s.kb:.0f} kB/s ({s.viewings:.0f} viewings) "
+            f"exceed the capacity at {format_time(s.at_s)}"
         )
         if s.holders:
             yield (
@@ -444,14 +445,17 @@
                 + (f" and {len(s.holders) - 12} more" if len(s.holders) > 12 else "")
             )
         if s.boxes:
-            yield f"  {s.still_kb:.0f} kB/s find none even then: {s.boxes} more boxes of the mean link would carry them"
+            yield (
+                f"  {s.still_kb:.0f} kB/s do not fit even then: "
+                f"{s.boxes} more boxes with the mean link would carry them"
+            )
     for w in plan.warm:
         yield (
             f"box {w.box}: {'start it' if w.spare else 'cold; started'} by {format_time(w.by_s)}, at most "
-            f"{w.pace:g} set-ups a second while it warms"
+            f"{w.pace:g} session requests a second while it warms up"
         )
     if plan.steps_down_s is not None:
         yield (
-            f"ordinary viewings get up to {plan.steps_down_kb:.0f} kB/s less than they ask "
+            f"ordinary viewings get up to {plan.steps_down_kb:.0f} kB/s less than their demand "
             f"from {format_time(plan.steps_down_s)}"
         )
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -22,15 +22,15 @@
 class ServerSideTest(unittest.TestCase):
     def test_split_at_every_offset(self):
         data = POST + CHUNKED + b"GET /y HTTP/1.0\r\n\r\n"
-        whole = feed_all(ServerSide(), [data])
+        expected = feed_all(ServerSide(), [data])
         self.assertEqual(
             [("POST", b"v=0\r\n", True), ("POST", b"abcde", True), ("GET", b"", False)],
-            [(e.method, e.body, e.keep_alive) for e in whole],
+            [(e.method, e.body, e.keep_alive) for e in expected],
         )
-        self.assertEqual("1, 2", whole[0].headers["x-a"])
+        self.assertEqual("1, 2", expected[0].headers["x-a"])
         for at in range(len(data)):
-            self.assertEqual(whole, feed_all(ServerSide(), [data[:at], data[at:]]), at)
-        self.assertEqual(whole, feed_all(ServerSide(), [data[n : n + 1] for n in range(len(data))]))
+            self.assertEqual(expected, feed_all(ServerSide(), [data[:at], data[at:]]), at)
+        self.assertEqual(expected, feed_all(ServerSide(), [data[n : n + 1] for n in range(len(data))]))
 
     def test_limits_hold_for_any_split_of_the_input(self):
         limits = Limits(head=500, fields=5, target=50, body=20)
--- a/tests/test_jsonl.py
+++ b/tests/test_jsonl.py
@@ -34,11 +34,11 @@
 class LineBufferTest(unittest.TestCase):
     def test_split_at_any_offset_gives_the_same_lines(self):
         text = b'{"op":"test"}\n\n' + offer() + b"\n" + b"x" * 40 + b"\nrest"
-        whole = LineBuffer().feed(text)
-        self.assertEqual(4, len(whole))
+        expected = LineBuffer().feed(text)
+        self.assertEqual(4, len(expected))
         for at in range(len(text) + 1):
             lines = LineBuffer()
-            self.assertEqual(whole, lines.feed(text[:at]) + lines.feed(text[at:]))
+            self.assertEqual(expected, lines.feed(text[:at]) + lines.feed(text[at:]))
             self.assertEqual((b"rest", None), (lines.partial, lines.error))
 
     def test_an_overlong_line_without_end_is_an_error_and_is_not_buffered(self):
--- a/tests/test_peaks_service.py
+++ b/tests/test_peaks_service.py
@@ -45,7 +45,7 @@
             (lambda: book.announce(peak("x", rate=-2.0), FRAME, 500.0), "a rate of -2"),
             (lambda: book.announce(peak("x", titles=("zz",)), FRAME, 500.0), "'zz' is not known"),
             (lambda: book.announce(peak("x", packages=("odd",)), FRAME, 500.0), "package 'odd'"),
-            (lambda: book.announce(peak("x", start_s=10.0, end_s=20.0), FRAME, 500.0), "ends 480 s ago"),
+            (lambda: book.announce(peak("x", start_s=10.0, end_s=20.0), FRAME, 500.0), "ended 480 s ago"),
             (lambda: book.change("none", {"rate": 3}, FRAME, 500.0), "not announced"),
             (lambda: book.change("eid", {"rates": 3}, FRAME, 500.0), "no field"),
             (lambda: book.change("eid", {"rate": "many"}, FRAME, 500.0), "Expected `float`"),
@@ -233,7 +233,7 @@
 
     async def test_invalid_changes_are_refused_by_name_and_change_nothing(self):
         for more, said in (
-            (dict(end=-5.0, start=-10.0), "it ends"),
+            (dict(end=-5.0, start=-10.0), "it ended"),
             (dict(end=-1.0), "before or as it starts"),
             (dict(rung=77), "rung 77"),
             (dict(sure=2.0), "sure 2"),
--- a/tests/test_signalling.py
+++ b/tests/test_signalling.py
@@ -48,9 +48,9 @@
             ("an equals sign", 400, b"s=-", b"rubbish"),
             ("UTF-8", 400, b"s=-", b"s=\xff\xfe"),
         ):
-            bad = self.refused(OFFER.replace(old, new))
-            self.assertIn(want, str(bad))
-            self.assertEqual(status, bad.status, want)
+            error = self.refused(OFFER.replace(old, new))
+            self.assertIn(want, str(error))
+            self.assertEqual(status, error.status, want)
         self.assertIn("recvonly: a WHIP offer sends", str(self.refused(OFFER, sends=True)))
         two = sdp.offer(True, "abcd", "p" * 24, FINGERPRINT).replace(
             b"m=audio 9 UDP/TLS/RTP/SAVPF 111", b"m=video 9 UDP/TLS/RTP/SAVPF 111"
@@ -69,8 +69,8 @@
             for read in (lambda b: sdp.check_offer(sdp.parse(b), False), sdp.parse_fragment):
                 try:
                     read(body)
-                except sdp.SdpError as bad:
-                    self.assertIn(bad.status, (400, 413, 422))
+                except sdp.SdpError as error:
+                    self.assertIn(error.status, (400, 413, 422))
 
     def test_fragments(self):
         frag = sdp.parse_fragment(
