--- a/flaxscale/lab/changes.py
+++ b/flaxscale/lab/changes.py
@@ -46,13 +46,13 @@
         name = dice.some(self.day.catalogue.titles or sorted(titles), 1)[0]
         title, what = titles[name], dice.draw()
         holders = dict(title.holders)
-        if what < 0.15 and (seated := [p for p in (title.view, title.push) if p in self.local.frame.seated]):
+        if what < 0.15 and (seated := [p for p in (title.view, title.push) if p in self.local.limits.seated]):
             package = seated[0]
             usual = self.day.site.packages[package].seats
             return [Seats(name, package, max(1, round(usual * dice.between((0.4, 1.3)))))]
         if what < 0.25:
-            floor = max(self.local.frame.floors[p] for p in (title.view, title.push) if p)
-            top = self.local.frame.rungs - 1
+            floor = max(self.local.limits.floors[p] for p in (title.view, title.push) if p)
+            top = self.local.limits.rungs - 1
             return [Rungs(name, min(floor, int(dice.draw() * 2)), max(floor, top - int(dice.draw() * 3)))]
         state = dice.pick({HOLDING: 3, LEAVING: 2, PREPARING: 1, "gone": 2})
         if state == "gone" and holders:
@@ -61,7 +61,7 @@
 
     def good(self, ops):
         """Whether it fits, and leaves each title two boxes that hold it: the day is for changes, not for absence."""
-        trial = Catalogue(self.local.frame, self.local.version, self.local.titles)
+        trial = Catalogue(self.local.limits, self.local.version, self.local.titles)
         try:
             delta = trial.apply(ops)
         except Refused:
