--- a/flaxscale/catalogue/digest.py
+++ b/flaxscale/catalogue/digest.py
@@ -1,30 +1,32 @@
-"""A sum over titles by which two managers see whether they hold the same, whatever order it came in. No I/O.
+"""An order-independent digest of titles, by which managers compare their catalogues. No I/O.
 
-Each title's own hash is added, so that a change costs what it changes (the way of M. Bellare and D. Micciancio, "A New
-Paradigm for Collision-Free Hashing: Incrementality at Reduced Cost", EUROCRYPT 1997, with a hash that is not against
-forgers: who may talk to managers at all has a key). It guards against what is damaged, mixed up or of another life.
+The digest is the sum of the titles' hashes, so that an update costs only the changed titles (M. Bellare and
+D. Micciancio, "A New Paradigm for Collision-Free Hashing: Incrementality at Reduced Cost", EUROCRYPT 1997). The hash is
+not cryptographic: only holders of a key can send messages to managers. It detects damaged or mixed-up data and data of
+another store.
 """
 
 import msgspec
 import xxhash
 
-SPACE = 1 << 64
+MODULUS = 1 << 64
 
 
-def one(title):
+def title_hash(title):
+    """The 64-bit hash of one title."""
     return xxhash.xxh3_64_intdigest(msgspec.msgpack.encode(title))
 
 
-def of(titles):
-    """The sum of titles, each counted once."""
-    return sum(one(t) for t in titles) % SPACE
+def total(titles):
+    """The digest of all these titles, each given once."""
+    return sum(title_hash(t) for t in titles) % MODULUS
 
 
-def moved(total, titles, changed):
-    """The sum after a change. titles: as they were. changed: {name: Title, or None where it was dropped}."""
+def updated(total, titles, changed):
+    """The digest after a change. titles: before the change. changed: {name: Title, or None for a dropped one}."""
     for name, title in changed.items():
         if (before := titles.get(name)) is not None:
-            total -= one(before)
+            total -= title_hash(before)
         if title is not None:
-            total += one(title)
-    return total % SPACE
+            total += title_hash(title)
+    return total % MODULUS
--- a/flaxscale/cli/front.py
+++ b/flaxscale/cli/front.py
@@ -12,9 +12,9 @@
 
 from ..front.failpoints import Failpoints
 from ..front.front import Front
-from ..serve.clock import set_wrong
+from ..serve.clock import set_skew
 from ..site.load import SiteError
-from ..site.terms import Sense, read_site
+from ..site.terms import ManagerSite, read_site
 from ..store.files import Files
 from ..store.troubled import TroubledFiles
 from . import ready, service, site_errors
@@ -98,10 +98,10 @@
     settings = site_errors(read)
     if clock:
         offset_s, _, rate = clock.partition(":")
-        set_wrong(float(offset_s), float(rate or 1))
+        set_skew(float(offset_s), float(rate or 1))
     member_routes = json.loads(pathlib.Path(via).read_text()) if via else None
     make_files = functools.partial(TroubledFiles, pathlib.Path(disk_fault)) if disk_fault else Files
-    site_terms = Sense(
+    site_terms = ManagerSite(
         settings,
         me,
         settings.zones.index(zone) if zone else 0,
--- a/flaxscale/front/boxes.py
+++ b/flaxscale/front/boxes.py
@@ -74,8 +74,8 @@
 
     def apply_settings(self, site_terms):
         """Applies changed settings."""
-        self.load_names, self.note_kinds = site_terms.load_names, site_terms.notes
-        self.dial_s = self.pool.dial_s = site_terms.site.allowed.dial_timeout_ms / 1000
+        self.load_names, self.note_kinds = site_terms.load_names, site_terms.note_kinds
+        self.dial_s = self.pool.connect_timeout_s = site_terms.site.allowed.dial_timeout_ms / 1000
 
     # Probes
 
@@ -87,8 +87,10 @@
             return
 
         def on_answer(result):
-            if isinstance(result, wire.Failed):
-                outcome = Outcome.UNREACHED if not result.sent else Outcome.TIMEOUT if result.late else Outcome.RESET
+            if isinstance(result, wire.RequestFailed):
+                outcome = (
+                    Outcome.UNREACHED if not result.sent else Outcome.TIMEOUT if result.timed_out else Outcome.RESET
+                )
                 done(outcome, now() - started_at, ())
                 return
             figures = load.decode(result.headers.get(load.FIELD))
@@ -143,9 +145,9 @@
 
         def on_answer(result):
             duration = now() - started_at
-            if isinstance(result, wire.Answer):
+            if isinstance(result, wire.Response):
                 self.stamp_answered(box, place.boot, stamp[1], result)
-            if isinstance(result, wire.Failed):
+            if isinstance(result, wire.RequestFailed):
                 done(Outcome.RESET if result.sent else Outcome.UNREACHED, duration, None, ())
                 return
             done(self.outcome_of(result), duration, result, self.figures_of(result.headers))
@@ -250,9 +252,9 @@
 
         def on_answer(result):
             self.orders_in_flight.pop(box, None)
-            if isinstance(result, wire.Answer):
+            if isinstance(result, wire.Response):
                 self.stamp_answered(box, place.boot, stamp[1], result)
-            accepted = isinstance(result, wire.Answer) and result.status == 200
+            accepted = isinstance(result, wire.Response) and result.status == 200
             self.pending_releases.batch_done(box, accepted, now())
             if accepted:
                 self.handle_fenced(box, result.body)
--- a/flaxscale/front/duties.py
+++ b/flaxscale/front/duties.py
@@ -84,7 +84,7 @@
         time_now, pieces = now(), duties.pieces_of(self.tasks, self.front.boxes.places)
         if self.holder.deaf(time_now):
             self.front.logger.info("leases: no answer from the service, reconnecting")
-            self.front.catalogue_watch.nudge()
+            self.front.catalogue_watch.reconnect()
         self.front.fleet.update_own_row()
         shares = (
             share(list(pieces), eligible(self.member_fits())) if self.front.fleet.out_of_service_since is None else {}
--- a/flaxscale/front/fleet.py
+++ b/flaxscale/front/fleet.py
@@ -92,7 +92,7 @@
                 "epoch": follower.epoch or "",
                 "version": follower.version or 0,
                 "floor": max(follower.floor, self.announced_floor),
-                "digest": follower.sum,
+                "digest": follower.digest,
                 "up": front.catalogue_watch.up,
                 "refused": front.catalogue_watch.refused,
             }
@@ -152,7 +152,7 @@
         if step.nudge:
             self.counts["nudges"] += 1
             self.front.logger.info("behind: reconnecting to the source", since=time_now - behind_since, newest=newest)
-            self.front.catalogue_watch.nudge()
+            self.front.catalogue_watch.reconnect()
             if self.front.list_follower:
                 self.front.list_follower.reconnect()
         if step.peer is not None:
@@ -164,7 +164,7 @@
         if service_address is None:
             raise OSError(f"{name} has no known address")
         host, _, port = service_address.rpartition(":")
-        result = await self.front.boxes.pool.ask(
+        result = await self.front.boxes.pool.fetch(
             host,
             int(port),
             "GET",
@@ -187,7 +187,7 @@
             )
             digests = await self.confirming_digests(peer, newest.epoch, handing.version_of(result.body))
             epoch, messages = handing.taken(result.body, follower, newest.epoch, digests)
-            self.front.catalogue_watch.handed(epoch, messages)
+            self.front.catalogue_watch.apply_handed_over(epoch, messages)
             applied = True
             self.counts["brought_up"] += 1
             logger.info("caught up", by=peer, epoch=epoch, version=follower.version, bytes=len(result.body))
@@ -354,7 +354,7 @@
         if resource == "digest":
             catalogue_watch, version = self.front.catalogue_watch, args.get("version", "")
             known = (
-                catalogue_watch.sums.get(int(version))
+                catalogue_watch.digests.get(int(version))
                 if version.isdecimal() and args.get("epoch") == catalogue_watch.follower.epoch
                 else None
             )
--- a/flaxscale/front/front.py
+++ b/flaxscale/front/front.py
@@ -16,7 +16,7 @@
 from .. import interface
 from ..admission.gate import Gate
 from ..admission.stall import StallDetector
-from ..catalogue.view import FileView, LiveView, title_id
+from ..catalogue.title_lookup import CatalogueTitles, SiteTitles, title_id
 from ..http1 import fields
 from ..http1.server import Limits
 from ..interface import Outcome
@@ -25,12 +25,12 @@
 from ..recovery.keys import Answered, InProgress, KeyTable, PayloadMismatch
 from ..run import AnswerKind, Runner
 from ..serve.clock import now
-from ..serve.server import Server, Times
+from ..serve.server import Server, Timeouts
 from ..signalling import endpoint
 from ..signalling.endpoint import Refusal
 from ..site.change import refusals
-from ..site.load import SiteError, refuse
-from ..site.terms import Sense
+from ..site.load import SiteError, raise_first_fault
+from ..site.terms import ManagerSite
 from ..store.files import Files
 from .audit import FrontAudit
 from .boxes import Boxes
@@ -138,7 +138,7 @@
             if list_address
             else None
         )
-        self.catalogue_watch, self.catalogue_view = None, FileView(self.site)
+        self.catalogue_watch, self.catalogue_view = None, SiteTitles(self.site)
         if catalogue_address:
             from ..catalogued.watch import CatalogueWatch  # loading gRPC is slow, and most tests do not need it
 
@@ -155,7 +155,7 @@
                 self.check_titles,
                 self.seats_in_use,
             )
-            self.catalogue_view = LiveView(site_terms, self.catalogue_watch.follower)
+            self.catalogue_view = CatalogueTitles(site_terms, self.catalogue_watch.follower)
         self.peaks = FrontPeaks(
             self,
             catalogue_address,
@@ -183,13 +183,13 @@
         self.server = Server(
             self.handle,
             Limits(front_settings.head_bytes, 64, 2048, front_settings.body_bytes),
-            Times(
+            Timeouts(
                 round(front_settings.head_ms * 10),
                 round(front_settings.body_ms * 10),
                 round(front_settings.idle_ms * 10),
             ),
             front_settings.connections,
-            may_be_gone=lambda: self.stall_detector.max_unread_wait(now()) > 0,
+            drop_disconnected=lambda: self.stall_detector.max_unread_wait(now()) > 0,
         )
         self.viewings, self.sessions_by_name, self.pending_setups, self.recent_requests = {}, {}, {}, {}
         self.ended_early = set()  # keys of pending set-ups that ended, by the box's stream, before their answer
@@ -212,8 +212,8 @@
             if self.read_settings is None:
                 raise SiteError("settings", "", "no settings file is available to read again")
             site, previous = self.read_settings(), self.site_terms
-            refuse("settings in service", self.refusals(site))
-            site_terms = Sense(site, previous.me, site.zones.index(previous.zone_name), previous.seed, previous)
+            raise_first_fault("settings in service", self.refusals(site))
+            site_terms = ManagerSite(site, previous.me, site.zones.index(previous.zone_name), previous.seed, previous)
         except SiteError as error:
             self.logger.warning("settings refused", detail=str(error))
             self.reload_counts["refused"] += 1
@@ -224,7 +224,7 @@
             site_terms.kinds, site_terms.zones, site.fleet.cells, site_terms.terms.rules.warm_up_time
         )
         if self.catalogue_watch is None:
-            self.catalogue_view = FileView(site)
+            self.catalogue_view = SiteTitles(site)
         else:
             self.catalogue_view.packages = site_terms.packages
         self.key_book.retention, self.gate.on = round(site.front.keep_answers_ms * 10), site.front.gate
@@ -236,7 +236,7 @@
 
     def refusals(self, site):
         """Returns [(key, reason)] for the settings that can't change while this manager runs."""
-        package_names = list(self.site_terms.rows)
+        package_names = list(self.site_terms.package_rows)
         in_use = Counter(
             package_names[session_record.request.package] for session_record in self.runner.sessions.values()
         )
@@ -294,7 +294,7 @@
         self.key_book.expire(now())
         if self.catalogue_watch:
             held_titles = {session_record.request.title for session_record in self.runner.sessions.values()}
-            self.runner.titles_changed(self.catalogue_view.forget(now(), held_titles))
+            self.runner.titles_changed(self.catalogue_view.forget_unused(now(), held_titles))
         self.housekeeping = self.loop.call_later(5.0, self.run_housekeeping)
 
     async def stop(self, grace=3.0):
@@ -325,7 +325,7 @@
             self.server.stop_listening()
             # A connection accepted just before may still send its first request, which is redirected too.
             fresh_until = self.loop.time() + FIRST_REQUEST_GRACE_S
-            while any(connection.fresh for connection in self.server.lines) and self.loop.time() < fresh_until:
+            while any(connection.unread for connection in self.server.connections) and self.loop.time() < fresh_until:
                 await asyncio.sleep(0.01)
             self.logger.info("handed over", left=len(self.viewings))
         for id in list(self.viewings):
@@ -351,13 +351,13 @@
     def handle(self, exchange):
         """Dispatches a client request and answers it on refusal or error."""
         try:
-            segments, args = endpoint.split(exchange.request.target)
+            segments, args = endpoint.split_target(exchange.request.target)
             if segments[0] not in ("whep", "whip", "session"):
                 self.handle_other(exchange, segments)
                 return
             if exchange.request.method == "POST" and segments[0] != "session" and len(segments) == 2:
                 self.check_admission(exchange, segments[1], args)
-            wanted = endpoint.read(exchange.request, segments, args, self.site.front.tokens)
+            wanted = endpoint.parse_request(exchange.request, segments, args, self.site.front.tokens)
             if isinstance(wanted, endpoint.Offer):
                 self.accept_offer(exchange, wanted)
             elif isinstance(wanted, endpoint.Options):
@@ -452,7 +452,7 @@
 
     def title_entry(self, title, sends):
         """Returns (catalogue entry, package name) for watching or pushing a title; each is None if there is none."""
-        entry = self.catalogue_view.look(title, now())
+        entry = self.catalogue_view.find(title, now())
         return entry, entry and (entry.push if sends else entry.view)
 
     def check_admission(self, exchange, title, args):
@@ -464,7 +464,7 @@
         stated = args.get("viewer") or headers.get("flaxscale-viewer")
         time_now, client = now(), stated or self.client_address(exchange)
         remaining = (
-            self.site_terms.patience(self.site_terms.packages[package], fields.wait_of(headers.get("prefer")))
+            self.site_terms.patience(self.site_terms.packages[package], fields.prefer_wait(headers.get("prefer")))
             - (time_now - exchange.arrived)
             - self.stall_detector.max_unread_wait(exchange.arrived)
         )
@@ -477,7 +477,7 @@
             raise Refusal(
                 503,
                 "this manager is overloaded" if refusal.why in ("behind", "late") else "too many requests",
-                [("Retry-After", str(max(1, fields.seconds_up(refusal.hold_off))))],
+                [("Retry-After", str(max(1, fields.whole_seconds(refusal.hold_off))))],
                 fate="blocked",
                 hold_off_ms=refusal.hold_off / 10,
                 why=refusal.why,
@@ -485,7 +485,7 @@
 
     def client_address(self, exchange):
         """Returns the client's address and user agent."""
-        peer = exchange.line.transport.get_extra_info("peername") or ("",)
+        peer = exchange.connection.transport.get_extra_info("peername") or ("",)
         return f"{peer[0]}:{exchange.request.headers.get('user-agent', '')}"
 
     def measure_lag(self, due):
@@ -519,7 +519,7 @@
         self.last_id += 1
         viewing = self.viewings[self.last_id] = Viewing(self.last_id, offer, exchange, self.name)
         self.sessions_by_name[viewing.name] = viewing
-        exchange.gone = lambda: self.client_gone(viewing, exchange)
+        exchange.on_disconnect = lambda: self.client_gone(viewing, exchange)
         if offer.key is not None:
             self.key_book.begin((viewer, offer.title, offer.key), xxhash.xxh3_64_intdigest(offer.body), viewing.id)
         time_now = now()
@@ -536,7 +536,7 @@
         viewing.cookie = encode_cookie(
             viewing.name, offer, viewer, highest_rung if offer.top is None else min(offer.top, highest_rung)
         )
-        if event := self.catalogue_view.news(offer.title):
+        if event := self.catalogue_view.pending_update(offer.title):
             self.runner.titles_changed([event])
         self.peaks.count_request(offer.title, package)
         deadline = time_now + patience
@@ -612,7 +612,7 @@
         if isinstance(known, InProgress) and (viewing := self.viewings.get(known.id)):
             self.counts["joined"] += 1
             viewing.exchanges.append(exchange)
-            exchange.gone = lambda: self.client_gone(viewing, exchange)
+            exchange.on_disconnect = lambda: self.client_gone(viewing, exchange)
             return True
         if isinstance(known, Answered) and known.id in self.viewings:
             self.counts["joined"] += 1
@@ -695,7 +695,7 @@
 
         def on_answer(result):
             if not hasattr(result, "status"):
-                if result.late:
+                if result.timed_out:
                     exchange.refuse(504, "No video server answered in time")
                     return
                 exchange.refuse(502, "The video server failed", result.detail)
@@ -718,7 +718,7 @@
             on_answer,
             PATCH_TIMEOUT_S,
         )
-        exchange.gone = call.cancel
+        exchange.on_disconnect = call.cancel
 
     # The runner's port
 
@@ -877,7 +877,7 @@
 
     def refusal_answer(self, answer):
         if answer.kind is AnswerKind.BLOCKED:
-            headers = [("Retry-After", str(max(1, fields.seconds_up(answer.hold_off))))] if answer.hold_off else []
+            headers = [("Retry-After", str(max(1, fields.whole_seconds(answer.hold_off))))] if answer.hold_off else []
             refusal = Refusal(
                 503,
                 "no box that holds this title has capacity",
@@ -939,7 +939,7 @@
         entry, package = self.title_entry(cookie.title, cookie.sends)
         if package is None:
             return None
-        if event := self.catalogue_view.news(cookie.title):
+        if event := self.catalogue_view.pending_update(cookie.title):
             self.runner.titles_changed([event])
         return entry.title, self.site_terms.packages[package]
 
@@ -992,7 +992,7 @@
             True,
         )
         self.sessions_by_name[viewing.name] = viewing
-        if event := self.catalogue_view.news(cookie.title):
+        if event := self.catalogue_view.pending_update(cookie.title):
             self.runner.titles_changed([event])
         self.boxes.session_started(box, key, viewing.id, boot, epoch)
         self.boxes.ensure_stream(box)
@@ -1050,7 +1050,7 @@
         self.fleet.version_taken(self.catalogue_watch.follower)
         self.audit.update_stamp()
         if titles is not None:
-            self.runner.titles_changed(self.catalogue_view.changed(titles))
+            self.runner.titles_changed(self.catalogue_view.pending_updates(titles))
 
     def check_titles(self, titles):
         """Raises ValueError for a version that does not fit this manager's settings; the last valid one remains."""
@@ -1068,8 +1068,8 @@
 
     def seats_in_use(self):
         """Returns {(title, package): seats in use} for packages with limited seats."""
-        names = {title_id(name): name for name in self.catalogue_view.told}
-        rows = list(self.site_terms.rows.items())
+        names = {title_id(name): name for name in self.catalogue_view.announced}
+        rows = list(self.site_terms.package_rows.items())
         return {
             (names[title], rows[package_number][0]): count
             for (title, package_number), count in self.runner.manager.seats.taken.items()
@@ -1080,8 +1080,8 @@
         """Returns the boxes that hold a title, as far as this manager knows."""
         if self.catalogue_watch is not None:
             known = self.catalogue_watch.follower.titles.get(title)
-            return known.may_take() if known else ()
-        entry = self.catalogue_view.look(title, now())
+            return known.available_boxes() if known else ()
+        entry = self.catalogue_view.find(title, now())
         cells = self.site.fleet.cells
         return [
             id
@@ -1100,7 +1100,7 @@
             "version": follower.version,
             "titles": len(follower.titles),
             "heard_s_ago": age,
-            "told_module": len(self.catalogue_view.told),
+            "told_module": len(self.catalogue_view.announced),
         }
 
     def settings(self):
@@ -1128,7 +1128,7 @@
                 "list_heard_s_ago": list_age_s,
                 "viewings": len(self.viewings),
                 "counts": self.counts,
-                "gone_at_door": self.server.gone_at_door,
+                "gone_at_door": self.server.closed_before_read,
                 "settings": self.settings(),
                 "owed": self.boxes.pending_releases.count(),
                 "faults": self.runner.faults,
--- a/flaxscale/front/members.py
+++ b/flaxscale/front/members.py
@@ -274,7 +274,7 @@
         return self.is_away(manager) and self.front.fleet.out_of_service_since is None and not leaving
 
     async def call(self, place, method, target, body, answer_type, extra_headers=(), timeout_s=BOX_TIMEOUT_S):
-        result = await self.front.boxes.pool.ask(
+        result = await self.front.boxes.pool.fetch(
             place.host,
             place.port,
             method,
--- a/flaxscale/front/peaks.py
+++ b/flaxscale/front/peaks.py
@@ -3,10 +3,10 @@
 import asyncio
 import time
 
-from ..catalogue.view import title_id
+from ..catalogue.title_lookup import title_id
 from ..peaks.announce import faults
 from ..peaks.axis import Axis
-from ..peaks.keeper import RoomKeeper, Surroundings, rates_of
+from ..peaks.keeper import PeakEnvironment, PeakReserver, bandwidth_function
 from ..serve.clock import now
 
 UPDATE_INTERVAL_S = 1.0
@@ -20,21 +20,21 @@
         site = front.site
         self.front, self.site, self.axis = front, site, Axis()
         self.reserved_kb, self.timer, self.updates, self.report_task, self.last_sent = (
-            rates_of(site),
+            bandwidth_function(site),
             None,
             0,
             None,
             None,
         )
         self.site_peaks = [row.announcement() for row in site.peaks]
-        self.keeper = RoomKeeper(
+        self.keeper = PeakReserver(
             self.site_peaks,
-            Surroundings(self.reservation_for, front.holders, site.fleet.racks, site.fleet.uplink_kb),
+            PeakEnvironment(self.reservation_for, front.holders, site.fleet.racks, site.fleet.uplink_kb),
             self.now(),
         )
         self.peak_watch, self.kept_kb = None, 0.0
         if address:
-            from ..catalogued.peakwatch import PeakWatch  # loading gRPC is slow, and most tests do not need it
+            from ..catalogued.peak_watch import PeakWatch  # loading gRPC is slow, and most tests do not need it
 
             self.peak_watch = PeakWatch(
                 address, front.name, self.peaks_changed, self.sync_clock, front.logger, files, self.check
@@ -42,8 +42,8 @@
 
     def apply_settings(self, site):
         """Applies changed settings; announcements and counted arrivals are kept."""
-        self.site, self.reserved_kb = site, rates_of(site)
-        self.keeper.fleet = Surroundings(
+        self.site, self.reserved_kb = site, bandwidth_function(site)
+        self.keeper.environment = PeakEnvironment(
             self.reservation_for, self.front.holders, site.fleet.racks, site.fleet.uplink_kb
         )
 
@@ -56,7 +56,7 @@
         return self.axis.at(now() / 10_000, time.time())
 
     def sync_clock(self, service_s):
-        self.axis.hear(service_s, now() / 10_000)
+        self.axis.add_reading(service_s, now() / 10_000)
 
     def check(self, peaks):
         """Returns the faults of announced peaks; unknown titles are none: the next catalogue version may have them."""
@@ -76,7 +76,7 @@
 
     def package_of(self, title):
         """Returns the package of a title's viewers; an announced package stands for itself."""
-        entry = self.front.catalogue_view.look(title, now())
+        entry = self.front.catalogue_view.find(title, now())
         return entry.view if entry else title if title in self.site.packages else None
 
     def reservation_for(self, title, rung, viewings, boxes):
@@ -87,7 +87,7 @@
 
     def count_request(self, title, package):
         if self.keeper.peaks:
-            self.keeper.asked(title, package, self.site.managers)
+            self.keeper.record_request(title, package, self.site.managers)
 
     def update(self):
         """Sends the current reservations to the decision module and, at intervals, the arrivals seen to the service."""
@@ -96,7 +96,7 @@
             return
         runner, time_s = self.front.runner, self.now()
         servers = {id: (server.row, server.link.capacity_kb) for id, server in runner.manager.servers.items()}
-        reservations, titles, packages = self.keeper.rooms(time_s, servers)
+        reservations, titles, packages = self.keeper.reserve(time_s, servers)
         self.kept_kb = sum(reservations.values())
         sent = reservations, titles, packages
         if sent != self.last_sent or reservations:
@@ -110,8 +110,8 @@
                 "room kept",
                 kb=round(self.kept_kb),
                 boxes=len(reservations),
-                peaks=sorted(self.keeper.kept),
-                given_up=round(self.keeper.given_up),
+                peaks=sorted(self.keeper.reserved_kb),
+                given_up=round(self.keeper.unplaced_kb),
             )
         self.last_sent = sent if reservations or titles or packages else None
         self.updates += 1
@@ -123,14 +123,14 @@
             arrivals = [
                 (
                     peak.name,
-                    self.keeper.come[peak.name],
-                    max(0.0, self.keeper.due(peak, time_s)),
-                    self.keeper.kept.get(peak.name, 0.0),
+                    self.keeper.arrivals[peak.name],
+                    max(0.0, self.keeper.expected_arrivals(peak, time_s)),
+                    self.keeper.reserved_kb.get(peak.name, 0.0),
                 )
                 for peak in self.keeper.peaks
                 if peak.start_s - peak.lead_s <= time_s < peak.end_s + 10
             ]
-            self.report_task = asyncio.ensure_future(self.peak_watch.tell(arrivals))
+            self.report_task = asyncio.ensure_future(self.peak_watch.report_seen(arrivals))
 
     def state(self):
         time_s = self.now()
@@ -139,14 +139,14 @@
             "version": version,
             "up": up,
             "kept_kb": round(self.kept_kb),
-            "given_up_kb": round(self.keeper.given_up),
+            "given_up_kb": round(self.keeper.unplaced_kb),
             "peaks": {
                 peak.name: {
                     "starts_in_s": round(peak.start_s - time_s, 1),
                     "ends_in_s": round(peak.end_s - time_s, 1),
-                    "came": self.keeper.come[peak.name],
-                    "due": round(max(0.0, self.keeper.due(peak, time_s)), 1),
-                    "kept_kb": round(self.keeper.kept.get(peak.name, 0.0)),
+                    "came": self.keeper.arrivals[peak.name],
+                    "due": round(max(0.0, self.keeper.expected_arrivals(peak, time_s)), 1),
+                    "kept_kb": round(self.keeper.reserved_kb.get(peak.name, 0.0)),
                 }
                 for peak in self.keeper.peaks
             },
@@ -156,7 +156,7 @@
         if self.timer is not None:
             self.timer.cancel()
         if self.peak_watch:
-            from ..catalogued.streams import ended
+            from ..catalogued.streams import cancel_and_wait
 
-            await ended(self.report_task)
+            await cancel_and_wait(self.report_task)
             await self.peak_watch.stop()
--- a/flaxscale/platform/clients.py
+++ b/flaxscale/platform/clients.py
@@ -9,8 +9,8 @@
 import asyncio
 
 from ..jsonl import messages
-from ..jsonl.lines import Lines
-from ..jsonl.messages import CallTaken, Fault, Message
+from ..jsonl.lines import LineBuffer
+from ..jsonl.messages import CallInUse, Message, MessageError
 
 # Spans in tenths of a millisecond, where no other unit is given.
 FIRST_MESSAGE_TIMEOUT = 15_000  # from connecting to the first valid message
@@ -26,7 +26,7 @@
     """One client connection. `open_requests`: sessions that await their answer on it, by call."""
 
     def __init__(self, host):
-        self.host, self.lines, self.transport = host, Lines(), None
+        self.host, self.lines, self.transport = host, LineBuffer(), None
         self.open_requests, self.validated, self.bad_messages = {}, False, 0
         self.closed = False  # nothing is sent on it any more
         self.reading_stopped = False  # received data is ignored; closed once all open requests are answered
@@ -48,15 +48,15 @@
         now = self.received_at = self.used_at = self.host.now()
         age = self.host.loop_watch.read_age(now)
         self.host.loop_watch.loop_ran(now)
-        for line in self.lines.take(data):
+        for line in self.lines.feed(data):
             self.partial_since = now
             self.handle_line(line, now - age)
             if self.closed or self.reading_stopped:
                 return
-        if not self.lines.rest:
+        if not self.lines.partial:
             self.partial_since = now
-        if self.lines.fault:
-            self.stop_reading(self.lines.fault)
+        if self.lines.error:
+            self.stop_reading(self.lines.error)
 
     def eof_received(self):
         """Handles a close or half-close by the client; the two can't be distinguished.
@@ -80,8 +80,8 @@
 
     def handle_line(self, line, arrived_at):
         try:
-            self.dispatch(messages.read(line), arrived_at)
-        except Fault as error:
+            self.dispatch(messages.decode(line), arrived_at)
+        except MessageError as error:
             self.reject_line(error, line)
 
     def dispatch(self, message: Message, arrived_at):
@@ -92,26 +92,26 @@
             self.host.handle_end(self, message)
         elif operation == "test":
             self.validated = True
-            self.send(messages.line("tested", message.call[:64], why=1))
+            self.send(messages.encode("tested", message.call[:64], why=1))
         elif operation == "ended":
             self.host.client_releases.acknowledged(message.call)
         elif operation not in ("ringing", "tested", "info"):
-            raise Fault("op: unknown operation")
+            raise MessageError("op: unknown operation")
 
     def handle_offer(self, message, arrived_at):
         try:
             self.host.handle_offer(self, message, arrived_at)
-        except CallTaken:
+        except CallInUse:
             raise
-        except Fault as error:
+        except MessageError as error:
             self.count_bad_message(error, message.call.encode())
-            self.send(messages.line("end", message.call[:64], why=messages.BAD))
+            self.send(messages.encode("end", message.call[:64], why=messages.CAUSE_INVALID))
             return
         self.validated = True
 
     def reject_line(self, error, line):
         """Refuses a line without naming a call, which may be the call of a valid request."""
-        self.send(messages.line("end", "", why=messages.BAD))
+        self.send(messages.encode("end", "", why=messages.CAUSE_INVALID))
         self.count_bad_message(error, line)
 
     def count_bad_message(self, error, line):
@@ -165,7 +165,7 @@
             return False
         return (
             (not self.validated and now - self.connected_at > FIRST_MESSAGE_TIMEOUT)
-            or bool(self.lines.rest)
+            or bool(self.lines.partial)
             and now - self.partial_since > PARTIAL_LINE_TIMEOUT
         )
 
--- a/flaxscale/platform/endpoints.py
+++ b/flaxscale/platform/endpoints.py
@@ -9,8 +9,8 @@
 
 from ..interface import Outcome, ServerStatus
 from ..jsonl import messages
-from ..jsonl.lines import Lines
-from ..jsonl.messages import Fault
+from ..jsonl.lines import LineBuffer
+from ..jsonl.messages import MessageError
 from .localerrors import is_local
 
 # Spans in tenths of a millisecond.
@@ -42,7 +42,7 @@
     """One connection with at most one set-up, which is open (`open_call`) or abandoned (`abandoned_call`)."""
 
     def __init__(self, endpoint):
-        self.endpoint, self.lines, self.transport = endpoint, Lines(), None
+        self.endpoint, self.lines, self.transport = endpoint, LineBuffer(), None
         self.open_call = self.abandoned_call = None
         self.closed, self.used_at = False, endpoint.host.now()
         self.half_closed = False  # closed by the manager, and read until the server closes it too
@@ -73,15 +73,15 @@
 
     def data_received(self, data):
         self.endpoint.host.loop_watch.loop_ran(self.endpoint.host.now())
-        for line in self.lines.take(data):
+        for line in self.lines.feed(data):
             if self.closed and not self.half_closed:
                 return
             try:
-                self.endpoint.handle_message(self, messages.read(line))
-            except Fault:
+                self.endpoint.handle_message(self, messages.decode(line))
+            except MessageError:
                 self.abort_unreadable()
                 return
-        if self.lines.fault and (self.half_closed or not self.closed):
+        if self.lines.error and (self.half_closed or not self.closed):
             self.abort_unreadable()
 
     def abort_unreadable(self):
@@ -167,10 +167,10 @@
             self.host.fail_attempt_later(session, Outcome.MOOT)
             return
         if session.call in self.pending_releases:  # ends an earlier attempt under the same call first
-            connection.send(messages.line("end", session.call, why=self.pending_releases.pop(session.call).cause))
+            connection.send(messages.encode("end", session.call, why=self.pending_releases.pop(session.call).cause))
         connection.open_call, session.connection, connection.used_at = session.call, connection, now
         fields = {"class": session.package, "key": session.key, "left": left, "rung": session.rung}
-        connection.send(messages.line("offer", session.call, fields, desc=session.desc))
+        connection.send(messages.encode("offer", session.call, fields, desc=session.desc))
 
     def cancel_waiting(self, session):
         """Cancels a set-up that waits for its connection. True: it was not sent and never will be."""
@@ -184,9 +184,9 @@
         self.early_releases.pop(session.call, None)
         if connection is not None and connection.open_call == session.call:
             connection.open_call, connection.abandoned_call, connection.used_at = None, session.call, self.host.now()
-            self.release(session.call, messages.NORMAL, connection)
+            self.release(session.call, messages.CAUSE_NORMAL, connection)
         else:
-            self.release(session.call, messages.NORMAL)
+            self.release(session.call, messages.CAUSE_NORMAL)
         return True
 
     # Releases and rung changes
@@ -215,10 +215,10 @@
             return
         for call, release in self.pending_releases.items():
             if release.connection is None or release.connection.closed:
-                connection.send(messages.line("end", call, why=release.cause))
+                connection.send(messages.encode("end", call, why=release.cause))
                 release.connection = connection
         for call, rung in self.pending_rungs.items():
-            connection.send(messages.line("set", call, {"rung": rung}))
+            connection.send(messages.encode("set", call, {"rung": rung}))
         self.pending_rungs.clear()
 
     # Connections
@@ -276,7 +276,7 @@
             session.connection = None
             self.early_releases.pop(call, None)
             # The set-up may have taken effect: it is released by its call, on another connection.
-            self.release(call, messages.NORMAL)
+            self.release(call, messages.CAUSE_NORMAL)
             # A local error is no failure of the server; it is reported as a cancelled attempt.
             self.host.attempt_failed(session, Outcome.CANCELLED if is_local(error) else Outcome.RESET)
         if not self.host.stopped:
@@ -398,7 +398,7 @@
         if operation == "info":
             host.handle_note(self, session, message)
         elif (
-            operation in messages.ANSWERS
+            operation in messages.ANSWER_OPS
             and connection.open_call == call
             and session
             and session.connection is connection
@@ -407,18 +407,18 @@
         elif operation == "end":
             self.handle_release(connection, session, message)
         elif operation not in ("accept", "ringing", "tested", "test", "set", "redirect", "offer"):
-            raise Fault("op: unknown operation")
+            raise MessageError("op: unknown operation")
 
     def handle_answer(self, connection, session, message):
         """Handles the answer to the set-up that is open on this connection."""
         host, accepted = self.host, message.op == "accept"
         if accepted and not message.desc:
-            raise Fault("desc: a description expected")
+            raise MessageError("desc: a description expected")
         connection.open_call, session.connection, connection.used_at = None, None, host.now()
         early_release = self.early_releases.pop(message.call, None)
         if not accepted:
-            outcome = messages.BEFORE.get(message.why, Outcome.RESET)
-            host.attempt_failed(session, outcome, messages.load(message, host.config.load_names))
+            outcome = messages.OUTCOMES_BEFORE_START.get(message.why, Outcome.RESET)
+            host.attempt_failed(session, outcome, messages.parse_load(message, host.config.load_names))
             return
         host.attempt_accepted(self, session, message)
         if session.id in self.playing and early_release:
@@ -444,7 +444,7 @@
         """Acknowledges the server's release, on another connection if this one is closed."""
         if connection.closed:
             connection = next((other for other in self.connections if other.usable()), connection)
-        connection.send(messages.line("ended", call))
+        connection.send(messages.encode("ended", call))
 
     def release_acknowledged(self, connection, call):
         self.pending_releases.pop(call, None)
--- a/flaxscale/platform/releases.py
+++ b/flaxscale/platform/releases.py
@@ -44,7 +44,7 @@
             release.connection = self.next_connection(release)
         if not release.connection.closed:
             release.sent_at = self.host.now()
-            release.connection.send(messages.line("end", call, why=release.cause))
+            release.connection.send(messages.encode("end", call, why=release.cause))
 
     def next_connection(self, release):
         """The next connection to try: untried ones first, then those with most accepted sessions."""
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -22,7 +22,7 @@
 from flaxscale.leases.terms import RENEWALS, Task
 from flaxscale.proto import catalogue_pb2 as pb
 from flaxscale.rules.duties import done_again, one_at_a_time
-from flaxscale.site.load import shape
+from flaxscale.site.load import decode_as
 from flaxscale.site.shapes import Site, faults
 from flaxscale.store.faulty import Crash, FaultyFiles
 from tests.rig import TERMS, Rows
@@ -45,9 +45,9 @@
 
     def test_a_site_names_duties_that_there_are_with_figures_that_go_together(self):
         def found(duties):
-            return [key for key, _ in faults(shape("test", TERMS.rstrip()[:-1] + f', "duties": {duties}}}', Site))]
+            return [key for key, _ in faults(decode_as("test", TERMS.rstrip()[:-1] + f', "duties": {duties}}}', Site))]
 
-        self.assertEqual({}, shape("test", TERMS, Site).duties)
+        self.assertEqual({}, decode_as("test", TERMS, Site).duties)
         self.assertEqual([], found('{"compact": {"period_s": 5}}'))
         self.assertEqual(["duties.sing"], found('{"sing": {}}'))
         self.assertEqual(["duties.floors.span_s"], found('{"floors": {"span_s": 1, "step_s": 2}}'))
@@ -143,12 +143,12 @@
 
     async def hear(self, service, told, **said):
         """One message, its writes made at once in place of 2 ms later."""
-        job = asyncio.ensure_future(service.hear(pb.WatchRequest(name="m", **said), told.append))
+        job = asyncio.ensure_future(service.handle(pb.WatchRequest(name="m", **said), told.append))
         while not job.done():
             await asyncio.wait({job}, timeout=0)
-            if service.settling is not None:
-                service.settling.cancel()
-                service.settle()
+            if service.commit_timer is not None:
+                service.commit_timer.cancel()
+                service.commit()
         job.result()
 
     async def course(self, disk):
@@ -183,7 +183,7 @@
                     self.assertNotIn(again.granter.ask("duty", "d.1", 0, 1 << 40).token, [t for _, t in tokens])
                 if acted:
                     self.assertFalse(again.fence.takes("duty", 1, "z.1"))
-                    self.assertIn(acted[-1].encode(), again.done["duty"])
+                    self.assertIn(acted[-1].encode(), again.last_acts["duty"])
 
     async def test_a_disk_that_is_full_ends_granting_and_tells_nothing(self):
         service, told = self.service(FaultyFiles(room=150)), []
@@ -215,7 +215,7 @@
         for left in disk.survivors():  # what was acknowledged before and after the fault outlives the power
             again = self.service(FaultyFiles(left))
             self.assertFalse(again.fence.takes("duty", token - 1, "z.1") and again.granter.count < token)
-            self.assertIn("duty", again.done)
+            self.assertIn("duty", again.last_acts)
             self.assertGreaterEqual(again.granter.count, token)
 
 
--- a/tests/test_platform_crossings.py
+++ b/tests/test_platform_crossings.py
@@ -157,7 +157,7 @@
     async def test_an_incomplete_line_does_not_affect_an_open_request(self):
         conn, call, server = await self.open_set_up()
         conn.send(b'{"op":"off')
-        while not any(one.lines.rest for one in self.host.clients):
+        while not any(one.lines.partial for one in self.host.clients):
             await self.poll_loop()
         self.host.close_expired_clients(self.host.now() + clients.PARTIAL_LINE_TIMEOUT + 1)
         await self.poll_loop()
