--- a/bench/hunt.py
+++ b/bench/hunt.py
@@ -26,8 +26,8 @@
 from flaxscale.lab.hunts import Hunting
 from flaxscale.lab.shapes import read_day
 from flaxscale.leases.holder import Holder
-from flaxscale.members.adopt import Course
 from flaxscale.members.swim import Swim
+from flaxscale.members.takeover import ClaimRetry
 from flaxscale.model.duties import Service
 from flaxscale.model.manager import ModelManager
 from flaxscale.model.play import Play
@@ -96,7 +96,7 @@
 }
 
 
-came, granted, began, restarted = Course.came, Holder.granted, Swim.__init__, Service.start
+came, granted, began, restarted = ClaimRetry.answered, Holder.granted, Swim.__init__, Service.start
 
 
 def claims_unfenced(self, key, epoch, owner):
@@ -133,16 +133,16 @@
 
 # Of processes among each other: take-over first, then leases.
 AMONG = {
-    "a box grants every claim": ("flaxscale.members.adopt.Fence.claim", claims_unfenced),
-    "a box obeys whoever held it before": ("flaxscale.members.adopt.Fence.obeys", lambda self, *args: True),
-    "what one can't claim nobody claims": ("flaxscale.members.adopt.Course.came", first_only),
+    "a box grants every claim": ("flaxscale.members.takeover.Fence.claim", claims_unfenced),
+    "a box obeys whoever held it before": ("flaxscale.members.takeover.Fence.accepts", lambda self, *args: True),
+    "what one can't claim nobody claims": ("flaxscale.members.takeover.ClaimRetry.answered", first_only),
     "a death is known too late": ("flaxscale.members.swim.Swim.__init__", slow_to_suspect),
     "what an earlier life left is not taken up": ("flaxscale.model.takeover.Taker.listed", lambda self, boxes: None),
-    "no fence for acts under leases": ("flaxscale.leases.fence.Fence.takes", lambda self, *args: True),
+    "no fence for acts under leases": ("flaxscale.leases.fence.Fence.accepts", lambda self, *args: True),
     "the span is counted from the answer": ("flaxscale.leases.holder.Holder.granted", from_the_answer),
     "tokens begin anew at a restart": ("flaxscale.model.duties.Service.start", token_lost),
     "the granter forgets its grants": ("flaxscale.model.duties.Service.start", forgets_grants),
-    "clocks are taken to be alike": ("flaxscale.leases.terms.Task.usable", lambda self: self.span),
+    "clocks are taken to be alike": ("flaxscale.leases.terms.Task.holder_span", lambda self: self.span),
 }
 
 
--- a/bench/stragglers.py
+++ b/bench/stragglers.py
@@ -27,9 +27,9 @@
 from flaxscale.lab.shapes import read_day
 from flaxscale.members.swim import Swim
 from flaxscale.members.wire import encode
-from flaxscale.versions import bringup
-from flaxscale.versions.board import Board
-from flaxscale.versions.bringup import BringUp, Giver
+from flaxscale.versions import catchup
+from flaxscale.versions.catchup import CatchUp, TransferLimit
+from flaxscale.versions.table import VersionTable
 
 ROOT = pathlib.Path(__file__).parents[1]
 TICK = 2_500  # as front/fleet.py looks
@@ -49,14 +49,16 @@
         self.loss, self.seed, self.draws, self.now, self.heap = loss, seed, 0, 0, []
         self.names = [f"m{n}" for n in range(count)]
         self.swims = {name: Swim(name, name, f"l{name}", seed, 0, serves=name) for name in self.names}
-        self.boards = {name: Board(name, f"l{name}") for name in self.names}
+        self.boards = {name: VersionTable(name, f"l{name}") for name in self.names}
         self.sent, self.bytes = 0, 0
         for name in self.names:
             for other in self.names:
                 if other != name:
-                    self.swims[name].learn(self.swims[other].me, 0)
-            self.swims[name].told.clear()
-            self.boards[name].mine(epoch="0123456789ab", version=1, digest=2**60, settings="0123456789abcdef", up=True)
+                    self.swims[name].apply_update(self.swims[other].me, 0)
+            self.swims[name].transmissions.clear()
+            self.boards[name].update_own(
+                epoch="0123456789ab", version=1, digest=2**60, settings="0123456789abcdef", up=True
+            )
             self.at(round(self.chance() * 5_000), self.ring, name)
 
     def chance(self):
@@ -74,7 +76,7 @@
 
     def send(self, name, out):
         for address, message in out:
-            message = message._replace(held=self.boards[name].rides(len(self.names)))
+            message = message._replace(held=self.boards[name].rows_to_send(len(self.names)))
             self.sent += 1
             if self.sent % 50 == 0:
                 self.bytes += 50 * len(encode(message, b"k"))
@@ -84,8 +86,8 @@
     def heard(self, name, message):
         board = self.boards[name]
         for row in message.held:
-            board.hear(row, message.sender, lambda other: f"l{other}", self.now)
-        self.send(name, self.swims[name].heard(message, message.sender, self.now))
+            board.receive(row, message.sender, lambda other: f"l{other}", self.now)
+        self.send(name, self.swims[name].receive(message, message.sender, self.now))
 
     def until(self, done, most):
         """Tenths until done() holds, looked at after each event; None where it does not within `most`."""
@@ -114,11 +116,11 @@
                 world.until(lambda: world.now > 20_000, 30_000)
                 began, base = world.now, (world.sent, world.bytes)
                 for name in world.names[1:]:
-                    world.boards[name].mine(version=2)
+                    world.boards[name].update_own(version=2)
                 all_of, last = set(world.names[1:]), {}
 
                 def look():
-                    world.boards["m0"].look(world.names, world.now)
+                    world.boards["m0"].refresh(world.names, world.now)
                     world.at(world.now + TICK, look)
 
                 look()
@@ -147,30 +149,30 @@
 @click.option("--size", default=5_000_000, help="Bytes of a whole copy.")
 def herd(size):
     """All but some are behind at once and the source is away: transfers at once, and until all are up."""
-    limits = bringup.AT_ONCE, bringup.BYTES, bringup.SPREAD, bringup.BURST
+    limits = catchup.MAX_TRANSFERS, catchup.BYTES_PER_SECOND, catchup.SPREAD_PER_MEMBER, catchup.BURST_BYTES
     for count, healthy in ((12, 2), (50, 2), (300, 5)):
         for limited in (True, False):
-            bringup.AT_ONCE, bringup.BYTES, bringup.SPREAD, bringup.BURST = (
+            catchup.MAX_TRANSFERS, catchup.BYTES_PER_SECOND, catchup.SPREAD_PER_MEMBER, catchup.BURST_BYTES = (
                 limits if limited else (10**6, 10**12, 0, 10**12)
             )
-            ups = {f"m{n}": BringUp(f"m{n}", n) for n in range(count)}
-            givers = {f"m{n}": Giver(0) for n in range(healthy)}
+            ups = {f"m{n}": CatchUp(f"m{n}", n) for n in range(count)}
+            givers = {f"m{n}": TransferLimit(0) for n in range(healthy)}
             behind, out, now, most, asked = set(list(ups)[healthy:]), [], 0, 0, 0
             busy = dict.fromkeys(givers, 0.0)
             while behind and now < 36_000_000:
                 while out and out[0][0] <= now:  # a transfer is over
                     at, name, giver = heapq.heappop(out)
                     givers[giver].done(size)
-                    ups[name].came(now, True)
+                    ups[name].finished(now, True)
                     behind.discard(name)
-                    givers[name], busy[name] = Giver(now), 0.0
+                    givers[name], busy[name] = TransferLimit(now), 0.0
                 for name in sorted(behind):
-                    step = ups[name].look(now, 0, len(behind), list(givers))
+                    step = ups[name].next_step(now, 0, len(behind), list(givers))
                     if step.peer is None:
                         continue
                     asked += 1
-                    if not givers[step.peer].may(now):
-                        ups[name].came(now, False)
+                    if not givers[step.peer].try_begin(now):
+                        ups[name].finished(now, False)
                         continue
                     # Its process encodes one after another, 25 MB a second; its link carries 100.
                     busy[step.peer] = max(busy[step.peer], now) + size / 25e6 * 10_000
@@ -183,7 +185,7 @@
                 f"transfers at one of them ({held:.1f} s of its process), all up after "
                 f"{now / 10_000:.1f} s, {asked} asked"
             )
-    bringup.AT_ONCE, bringup.BYTES, bringup.SPREAD, bringup.BURST = limits
+    catchup.MAX_TRANSFERS, catchup.BYTES_PER_SECOND, catchup.SPREAD_PER_MEMBER, catchup.BURST_BYTES = limits
 
 
 @main.command()
--- a/flaxscale/audit/account.py
+++ b/flaxscale/audit/account.py
@@ -59,7 +59,7 @@
     def __init__(self, files):
         """Raises StoreError, ValueError or OSError where what is there can't be used; nothing of it is changed then."""
         self.log = Log(files)
-        self.rows, self.waiting, self.dropped, self.lost = rows_of(self.log.found), [], 0, 0
+        self.rows, self.waiting, self.dropped, self.lost = rows_in(self.log.found), [], 0, 0
         self.failed = None
 
     def put(self, row):
@@ -92,7 +92,7 @@
         return True
 
 
-def rows_of_account(account, since=0):
+def rows_since(account, since=0):
     """Rows of one that is in use, from those at a time on; the lives and stamps before it that they need too."""
     rows = [*account.rows, *account.waiting]
     first = next((n for n, row in enumerate(rows) if row.at >= since), len(rows))
@@ -111,7 +111,7 @@
     return [*last.values(), *([Dropped(gone, rows[-1].at)] if gone else ())]
 
 
-def rows_of(found):
+def rows_in(found):
     """The rows of a store as it was found."""
     rows = list(decoded(found.snapshot, Kept, SHAPE, "account").rows) if found.snapshot is not None else []
     for seq, content in found.records:
@@ -125,7 +125,7 @@
 WHAT = {Began: "life", Stamped: "stamp", Did: "did", Dropped: "dropped"}
 
 
-def plain(row):
+def as_plain(row):
     """A row as plain values, for a judge that shares no code with it."""
     made = msgspec.structs.asdict(row)
     if isinstance(row, Stamped):
--- a/flaxscale/audit/stamp.py
+++ b/flaxscale/audit/stamp.py
@@ -29,31 +29,31 @@
     def __init__(self):
         self.number, self.current, self.known = 0, None, {}  # known: {box: (its start, number)} it answered under
 
-    def take(self, stamp):
+    def update(self, stamp):
         """The number in force from now on; (number, whether it is a new one)."""
         if stamp == self.current:
             return self.number, False
         self.number, self.current = self.number + 1, stamp
         return self.number, True
 
-    def carried(self, box, boot):
+    def header_value(self, box, boot):
         """The field's value for a request to a box. boot: its start as the list tells it."""
         if self.known.get(box) == (boot, self.number):
             return str(self.number)
         return f"{self.number};{base64.urlsafe_b64encode(msgspec.msgpack.encode(self.current)).decode()}"
 
-    def unknown(self, box):
+    def forget(self, box):
         """That box does not know the stamp whose number it was told."""
         self.known.pop(box, None)
 
-    def heard(self, box, boot, field):
+    def acknowledged(self, box, boot, field):
         """That box answered a request which carried this field."""
         number, _, whole = field.partition(";")
         if whole:
             self.known[box] = boot, int(number)
 
 
-def read(field):
+def parse(field):
     """(number, Stamp or None) of a field's value; ValueError where it is none."""
     match = FIELD.match(field)
     if match is None:
--- a/flaxscale/catalogued/leases.py
+++ b/flaxscale/catalogued/leases.py
@@ -48,7 +48,7 @@
         found = self.store.found
         for data in ([found.snapshot] if found.snapshot is not None else []) + [data for _, data in found.records]:
             self.take(decoded(data, Kept, SHAPE, "state of leases"))
-        self.granter.era(time.time())
+        self.granter.start_era(time.time())
         self.opens = self.granter.opened
         self.settling, self.waiting, self.broken = None, [], None
         self.resuming = Resuming(self.resume, self.resumed)
@@ -62,7 +62,7 @@
             self.granter.load(kept.data, now())
             self.fence, self.done = Fence(kept.fence), dict(kept.done)
         elif kept.kind == "grant":
-            self.granter.take(kept.data, now())
+            self.granter.replay(kept.data, now())
         elif kept.kind == "fence":
             self.fence = Fence(kept.fence)
         elif kept.kind == "done":
@@ -129,15 +129,15 @@
                     )
                 )
             return
-        self.granter.seen(said.seen)
+        self.granter.observe_token(said.seen)
         told, new = [], False
         for ask in said.leases:
             if not ask.number:
-                if self.granter.give(ask.piece, said.owner, ask.token, now()):
+                if self.granter.release(ask.piece, said.owner, ask.token, now()):
                     self.put("grant", data=self.granter.record())
                     self.note("given", ask.piece, said.owner, ask.token)
                 continue
-            answer = self.granter.ask(ask.piece, said.owner, ask.token, now())
+            answer = self.granter.request(ask.piece, said.owner, ask.token, now())
             if isinstance(answer, Granted):
                 if answer.new:
                     new = True
@@ -171,12 +171,12 @@
     async def acted(self, owner, act):
         """Does it where the fence takes it, as an act of its own in the records."""
         task, at = task_of(act.piece), now()
-        self.granter.seen(act.token)
+        self.granter.observe_token(act.token)
         if task not in self.tasks:
             return pb.ActTold(piece=act.piece, number=act.number, refused=f"no duty {task[:40]!r} is on here")
-        if not self.fence.takes(act.piece, act.token, owner):
+        if not self.fence.accepts(act.piece, act.token, owner):
             known = self.fence.token(act.piece)
-            self.granter.seen(known)
+            self.granter.observe_token(known)
             self.note("refused", act.piece, owner, act.token)
             return pb.ActTold(piece=act.piece, number=act.number, token=known, refused="an outdated lease")
         self.put("fence", fence=self.fence.dump())
@@ -220,8 +220,8 @@
                 token, owner = self.granter.count, f"{OPERATOR}.{request.who[:60]}"
                 # Free of new holders until the released one's grant is over, as it was.
                 self.granter.rows[request.release] = row._replace(owner=owner, token=token)
-                self.granter.note(request.release, "released", owner, token)
-                self.fence.takes(request.release, token, owner)
+                self.granter.add_event(request.release, "released", owner, token)
+                self.fence.accepts(request.release, token, owner)
                 self.put("grant", data=self.granter.record())
                 self.put("fence", fence=self.fence.dump())
                 self.note("released", request.release, owner, token)
--- a/flaxscale/catalogued/peaks.py
+++ b/flaxscale/catalogued/peaks.py
@@ -13,7 +13,7 @@
 from ..proto import peaks_pb2_grpc as pb_grpc
 from ..serve.clock import now
 from ..serve.limit import within
-from ..store.latest import Latest
+from ..store.latest import LatestRecord
 from .resuming import Resuming
 from .streams import first_of, hear_all
 
@@ -33,7 +33,7 @@
 class PeakService(pb_grpc.PeaksServicer):
     def __init__(self, files, epoch, frame, titles, log, wall=time.time):
         """frame: catalogue.state.Frame of the site. titles(): what the catalogue has now. wall(): Unix seconds."""
-        self.store, self.epoch, self.log, self.wall = Latest(files, SNAPSHOT_EVERY), epoch, log, wall
+        self.store, self.epoch, self.log, self.wall = LatestRecord(files, SNAPSHOT_EVERY), epoch, log, wall
         self.rungs, self.packages, self.titles = frame.rungs, tuple(frame.floors), titles
         self.book = PeakBook() if self.store.kept is None else decode(self.store.kept)[1]
         self.managers, self.broken, self.stopped = {}, None, False
--- a/flaxscale/catalogued/peakwatch.py
+++ b/flaxscale/catalogued/peakwatch.py
@@ -8,7 +8,7 @@
 from ..peaks.book import Follower, PeakBook, decode, encode
 from ..proto import peaks_pb2 as pb
 from ..proto import peaks_pb2_grpc as pb_grpc
-from ..store.latest import Latest
+from ..store.latest import LatestRecord
 from ..store.log import StoreError
 from .streams import channel_to, come_back, ended
 
@@ -29,7 +29,7 @@
 
     def load(self):
         try:
-            self.store = Latest(self.files, SNAPSHOT_EVERY)
+            self.store = LatestRecord(self.files, SNAPSHOT_EVERY)
             if self.store.kept is not None:
                 epoch, book = decode(self.store.kept)
                 self.follower.take(epoch, book.version, book.peaks.values())
--- a/flaxscale/catalogued/service.py
+++ b/flaxscale/catalogued/service.py
@@ -211,7 +211,7 @@
         """Managers that live, as far as this service hears of them."""
         most = round(LIVING * self.fleet.behind_s * 10_000)
         seen = [
-            floors.Watching(name, w.acked, 0 if name in self.wakes else now() - w.heard_at)
+            floors.WatcherVersion(name, w.acked, 0 if name in self.wakes else now() - w.heard_at)
             for name, w in sorted(self.watchers.items())
             if w.role == "manager"
         ]
@@ -226,7 +226,7 @@
                 epoch=self.epoch,
                 version=keeper.settled,
                 floor=keeper.floor,
-                under=floors.shut_out(keeper.floor, watching) if keeper.floor else [],
+                under=floors.below_floor(keeper.floor, watching) if keeper.floor else [],
                 **more,
             )
 
@@ -250,7 +250,7 @@
             await asyncio.sleep(LOOK_S)
             if self.broken is not None or self.staged:
                 continue
-            floor = floors.by_rule(
+            floor = floors.automatic_floor(
                 self.settled_at, now(), round(self.fleet.behind_s * 10_000), self.managers(), self.fleet.floor_share
             )
             if floor is not None and floor > self.keeper.floor:
@@ -310,7 +310,7 @@
             keeper.compact()
             return {"records": records, "compacted": True}
         if task == "floors":
-            floor = floors.by_rule(
+            floor = floors.automatic_floor(
                 self.settled_at, now(), round(self.fleet.behind_s * 10_000), self.managers(), self.fleet.floor_share
             )
             if floor is None or floor <= keeper.floor or self.staged:
--- a/flaxscale/cli/audit.py
+++ b/flaxscale/cli/audit.py
@@ -97,14 +97,14 @@
     """A manager's own account in FOLDER (STATE/account-mN; while that manager does not run), as JSON lines."""
     import msgspec
 
-    from ..audit.account import plain, rows_of
+    from ..audit.account import as_plain, rows_in
     from ..store.files import Files
     from ..store.log import Log, StoreError
 
     try:
-        rows = rows_of(Log(Files(folder)).found)
+        rows = rows_in(Log(Files(folder)).found)
     except (StoreError, ValueError, OSError) as bad:
         click.echo(f"flaxscale: {folder}: {bad}", err=True)
         sys.exit(BAD)
     for row in rows:
-        click.echo(msgspec.json.encode(plain(row)).decode())
+        click.echo(msgspec.json.encode(as_plain(row)).decode())
--- a/flaxscale/cli/front.py
+++ b/flaxscale/cli/front.py
@@ -15,8 +15,8 @@
 from ..serve.clock import set_wrong
 from ..site.load import SiteError
 from ..site.terms import Sense, read_site
+from ..store.fault_injection import FaultInjectingFiles
 from ..store.files import Files
-from ..store.troubled import TroubledFiles
 from . import ready, service, site_errors
 from .logs import LEVELS, logger
 
@@ -91,7 +91,7 @@
         off, _, rate = clock.partition(":")
         set_wrong(float(off), float(rate or 1))
     paths = json.loads(pathlib.Path(via).read_text()) if via else None
-    files = functools.partial(TroubledFiles, pathlib.Path(disk_fault)) if disk_fault else Files
+    files = functools.partial(FaultInjectingFiles, pathlib.Path(disk_fault)) if disk_fault else Files
     made = Sense(
         found,
         me,
--- a/flaxscale/explore/inhand.py
+++ b/flaxscale/explore/inhand.py
@@ -1,10 +1,10 @@
 """A viewing in hand, explored whole: three managers, one box, a client that asks again under its key whenever it likes.
 
 The machines are the program's own: recovery.tries (who knows of a first try, what boxes' words amount to, the box's
-bars) and members.adopt (the fence, who claims what). Around them stands the least: a client that asks a manager, then
-another; managers that crash, stand still (a step that never comes is one that comes late) and come back with another
-life; a box that may restart and lose all; messages that come late, in any order, or never, those that the program
-repeats as often as it likes.
+bars) and members.takeover (the fence, who claims what). Around them stands the least: a client that asks a manager,
+then another; managers that crash, stand still (a step that never comes is one that comes late) and come back with
+another life; a box that may restart and lose all; messages that come late, in any order, or never, those that the
+program repeats as often as it likes.
 
 A keeper's or the box's word is heard in the step in which it is given: what its hearer does with it are messages that
 may be late in turn, so that a word that is late adds no course of its own; a lost one is one that is not waited for.
@@ -17,7 +17,7 @@
 
 from typing import NamedTuple
 
-from ..members.adopt import Fence, Session, plan
+from ..members.takeover import Fence, Session, plan_claims
 from ..recovery import tries
 from . import search
 from .search import added, without
@@ -285,7 +285,7 @@
     def take_over(self, world, m, at):
         """A dead manager's, or an earlier life's own: claimed by whom the hashing names, and ended where unwatched."""
         alive = [name for n, name in enumerate(MANAGERS) if up(world, n)]
-        made = plan(
+        made = plan_claims(
             [Session(at.key, at.owner, at.epoch, NAME, at.key == world.got)],
             at.owner,
             MANAGERS[m],
@@ -408,7 +408,7 @@
     def to_end(self, world, m, key, epoch):
         fence = fence_of(world)
         done = world._replace(hands=put(world.hands, m, ())) if world.hands[m] == ("ends", key, epoch) else world
-        if not fence.obeys(key, epoch, MANAGERS[m]):
+        if not fence.accepts(key, epoch, MANAGERS[m]):
             yield f"the box refuses {MANAGERS[m]}'s end of {key}", done, None
             return
         broken = None
--- a/flaxscale/explore/leases.py
+++ b/flaxscale/explore/leases.py
@@ -17,7 +17,7 @@
 
 from ..leases.fence import Fence
 from ..leases.granter import Granted, Granter, Row
-from ..leases.holder import Holder, Wanted
+from ..leases.holder import Holder, WantedPiece
 from ..leases.terms import Task
 from .search import added, without
 
@@ -99,8 +99,8 @@
 
     def holder_of(self, side, name):
         holder = Holder(name, 0, 0)
-        holder.up = True
-        held = holder.wanted[PIECE] = Wanted(self.task, 0)
+        holder.connected = True
+        held = holder.wanted[PIECE] = WantedPiece(self.task, 0)
         held.token, held.until = side.token, side.left
         if side.asking <= 0:
             held.asked_at, held.number = side.asking, 1
@@ -174,7 +174,7 @@
         sides, given = [], []
         for n, side in enumerate(world.sides):
             on = self.rates[n]
-            # An asking grows old by its own clock; given up after a while, as holder.AGAIN does.
+            # An asking grows old by its own clock; given up after a while, as holder.REQUEST_TIMEOUT does.
             asking = side.asking - on if side.asking <= 0 else 1
             if asking < -self.task.span:
                 asking = 1
@@ -214,7 +214,7 @@
 
     def to_ask(self, world, n, token, present):
         granter, owner = self.granter_of(world), owner_of(n, world.sides[n].life)
-        said = granter.ask(PIECE, owner, token, 0)
+        said = granter.request(PIECE, owner, token, 0)
         after = self.with_granter(world, granter)
         if not isinstance(said, Granted):
             yield (
@@ -264,7 +264,7 @@
         elif self.bug == "a token without its owner":
             taken = token >= fence.token(PIECE)
         else:
-            taken = fence.takes(PIECE, token, owner)
+            taken = fence.accepts(PIECE, token, owner)
         if taken and world.fence:
             if token < world.fence[0]:
                 broken = f"the resource goes back from token {world.fence[0]} to {token}"
@@ -276,7 +276,7 @@
         # Refused: it says which token it knows, and its manager tells the granter.
         side, granter = world.sides[n], self.granter_of(world)
         if world.granter:
-            granter.seen(world.fence[0])
+            granter.observe_token(world.fence[0])
             world = self.with_granter(world, granter)
         if (side.up, side.life, side.token) == (True, life, token):
             world = self.put(world, n, side._replace(token=0, left=0))
--- a/flaxscale/explore/takeover.py
+++ b/flaxscale/explore/takeover.py
@@ -1,6 +1,6 @@
 """Explores all interleavings of take-over: managers that claim, order, pause, crash and learn, one box's fence.
 
-The state machines are the program's own (members.adopt.Fence and plan); what stands around them here is the least:
+The state machines are the program's own (members.takeover.Fence and plan); what stands around them here is the least:
 who each manager thinks alive (any opinion may come at any time), which sessions it holds and under which epoch, and
 messages on their way. Invariants, in each state:
   at most one manager holds a viewing under the box's present epoch;
@@ -10,7 +10,7 @@
 
 from typing import NamedTuple
 
-from ..members.adopt import Fence, Session, plan
+from ..members.takeover import Fence, Session, plan_claims
 from . import search
 from .search import added, without
 
@@ -63,7 +63,7 @@
             alive = [x for x in MANAGERS if x == m or x not in thinks]
             if acted:  # each opinion is acted on once, as the program does
                 continue
-            claims = [("claim", m, c.key, c.epoch) for c in plan(sessions, other, m, alive).claims]
+            claims = [("claim", m, c.key, c.epoch) for c in plan_claims(sessions, other, m, alive).claims]
             wire = added(world.wire, *claims)
             acts = added(without(world.dead, (m, other, False)), (m, other, True))
             yield f"{m} asks for the sessions of {other} and claims", world._replace(wire=wire, dead=acts), None
@@ -112,13 +112,13 @@
             )
         yield f"the box grants {manager}'s claim to {key} under {epoch}", after, broken or judged(after)
         return
-    if bug != "orders are not fenced" and not fence.obeys(key, epoch, manager):
+    if bug != "orders are not fenced" and not fence.accepts(key, epoch, manager):
         yield f"the box refuses {manager}'s order for {key}", world, None
         return
     broken = None
     if key in fence.held and fence.held[key] != (manager, epoch):
         broken = f"{key} is ended by {manager} under {epoch}, {fence.held[key][0]} has it"
-    fence.over(key)
+    fence.remove(key)
     yield f"the box ends {key} for {manager}", world._replace(fence=packed(fence)), broken
 
 
--- a/flaxscale/front/audit.py
+++ b/flaxscale/front/audit.py
@@ -44,7 +44,7 @@
         """Something that actions go by may have changed."""
         front, watch = self.front, self.front.watch
         view = ",".join(front.members.alive())
-        number, new = self.stamps.take(
+        number, new = self.stamps.update(
             Stamp(
                 BUILD,
                 front.mark,
@@ -61,7 +61,7 @@
 
     def field(self, box, boot):
         """The header of a request to a box."""
-        return FIELD if not self.front.older else "X-Unknown", self.stamps.carried(box, boot)
+        return FIELD if not self.front.older else "X-Unknown", self.stamps.header_value(box, boot)
 
     def did(self, kind, key, box=0):
         self.put(Did(kind, key, box, self.stamps.number, now()))
--- a/flaxscale/front/boxes.py
+++ b/flaxscale/front/boxes.py
@@ -140,7 +140,7 @@
 
     def answered_under(self, box, boot, field, answer):
         """A box answered what carried this stamp; it may have refused it for what it was done under."""
-        self.owner.audit.stamps.heard(box, boot, field)
+        self.owner.audit.stamps.acknowledged(box, boot, field)
         if FLOOR in answer.headers:
             self.owner.fleet.refused(box, answer.headers)
 
--- a/flaxscale/front/duties.py
+++ b/flaxscale/front/duties.py
@@ -1,5 +1,5 @@
 """What one manager does for the whole fleet under leases, on its sockets. Who may, when and under which token leases/
-says; what a duty decides stands in leases/duties.py and where its matter lies (catalogue.plan, members.adopt).
+says; what a duty decides stands in leases/duties.py and where its matter lies (catalogue.plan, members.takeover).
 """
 
 import asyncio
@@ -11,7 +11,7 @@
 
 from ..leases import duties
 from ..leases.holder import Holder
-from ..leases.shares import Fit, eligible, share
+from ..leases.shares import Candidate, eligible, share
 from ..proto import catalogue_pb2 as pb
 from ..serve.clock import now
 from .members import Outdated, Sessions
@@ -27,7 +27,7 @@
     def __init__(self, front):
         self.front, self.owner = front, f"{front.name}.{front.boot}"
         self.tasks = duties.tasks_of(front.site.duties, front.site.fleet.drift)
-        self.holder, self.turns = Holder(self.owner, front.sense.seed, now()), duties.Turns()
+        self.holder, self.turns = Holder(self.owner, front.sense.seed, now()), duties.Schedule()
         self.sweeps, self.jobs, self.acts, self.numbers, self.timer = {}, set(), {}, 0, None
         self.counts = dict.fromkeys(("granted", "acts", "refused", "failed"), 0)
         self.on = False
@@ -54,7 +54,7 @@
         for job in list(self.jobs):
             job.cancel()
         await asyncio.gather(*self.jobs, return_exceptions=True)
-        await self.give(self.holder.leave(now()))
+        await self.give(self.holder.release_all(now()))
         self.front.watch.duties = None
 
     def own(self, work):
@@ -68,20 +68,20 @@
         board = self.front.fleet.board
         floor = board.floor()
         return [
-            Fit(row.name, row.full, row.slow, row.behind or row.version < floor, not row.up)
-            for row in board.living(self.front.members.alive())
+            Candidate(row.name, row.full, row.slow, row.behind or row.version < floor, not row.up)
+            for row in board.live_rows(self.front.members.alive())
         ]
 
     def tick(self):
         self.timer = asyncio.get_running_loop().call_later(TICK_S, self.tick)
         time, pieces = now(), duties.pieces_of(self.tasks, self.front.boxes.places)
-        if self.holder.deaf(time):
+        if self.holder.granter_silent(time):
             self.front.lines.info("leases: the service is silent, asked anew")
             self.front.watch.nudge()
         self.front.fleet.renew()
         shared = share(list(pieces), eligible(self.fits())) if self.front.fleet.shut is None else {}
         mine = {piece: pieces[piece] for piece, name in shared.items() if name == self.front.name}
-        self.holder.wants(mine, time)
+        self.holder.set_wanted(mine, time)
         self.turns.forget(mine)
         self.own(self.say(time))
         for piece, task in mine.items():
@@ -90,11 +90,11 @@
                 self.own(self.do(piece, task))
 
     async def say(self, time):
-        await self.give(self.holder.give(time, self.turns.under_way))
+        await self.give(self.holder.releases(time, self.turns.under_way))
         if asked := self.holder.due(time):
             await self.front.watch.say(
                 owner=self.owner,
-                seen=self.holder.seen,
+                seen=self.holder.highest_token,
                 leases=[pb.LeaseAsk(piece=piece, token=token, number=number) for piece, token, number in asked],
             )
 
@@ -105,7 +105,7 @@
             )
 
     def source(self, up):
-        self.holder.source(up, len(self.front.members.alive()), now())
+        self.holder.set_connected(up, len(self.front.members.alive()), now())
 
     def heard(self, reply):
         time = now()
@@ -137,7 +137,7 @@
             self.front.lines.info("duty not done", piece=piece, detail=f"{type(bad).__name__}: {bad}"[:200])
         finally:
             if done:
-                self.turns.over(piece, now())
+                self.turns.done(piece, now())
             else:
                 self.turns.failed(piece, task, now())
 
@@ -290,9 +290,9 @@
         place = self.front.boxes.places.get(box)
         if place is None:
             return
-        members, sweep = self.front.members, self.sweeps.setdefault(box, duties.Sweep())
+        members, sweep = self.front.members, self.sweeps.setdefault(box, duties.OrphanScan())
         found, alive = await members.call(place, "GET", "/manager/sessions", None, Sessions), members.alive()
-        lone = sweep.look([(r.key, r.owner, r.epoch) for r in found.sessions], alive, now())
+        lone = sweep.overdue([(r.key, r.owner, r.epoch) for r in found.sessions], alive, now())
         for owner in sorted({o.owner for o in lone}):
             keys, owed = {o.key for o in lone if o.owner == owner}, await self.front.lent.of(owner, box)
             lease = self.lease(piece)
@@ -313,7 +313,7 @@
         return {
             "on": self.on,
             **self.counts,
-            "seen": self.holder.seen,
+            "seen": self.holder.highest_token,
             "holds": {
                 piece: {"token": held.token, "left_s": (held.until - time) / 10_000}
                 for piece, held in sorted(self.holder.wanted.items())
--- a/flaxscale/front/fleet.py
+++ b/flaxscale/front/fleet.py
@@ -9,17 +9,17 @@
 
 import msgspec
 
-from ..audit.account import plain, rows_of_account
+from ..audit.account import as_plain, rows_since
 from ..chance import drawn
 from ..members import wire as members_wire
-from ..members.adopt import keeper_of
-from ..members.ration import full
+from ..members.rate_limit import at_capacity
 from ..members.swim import State
+from ..members.takeover import assigned_manager
 from ..serve.clock import now
 from ..signalling.endpoint import Refusal
-from ..versions import handing
-from ..versions.board import Board
-from ..versions.bringup import BYTES, BringUp, Giver
+from ..versions import transfer
+from ..versions.catchup import BYTES_PER_SECOND, CatchUp, TransferLimit
+from ..versions.table import VersionTable
 from .boxes import FLOOR
 
 TICK_S = 0.25
@@ -37,9 +37,9 @@
     def __init__(self, front):
         self.front, self.on = front, False
         self.board, self.up, self.giver = (
-            Board(front.name, front.boot),
-            BringUp(front.name, front.sense.seed),
-            Giver(now()),
+            VersionTable(front.name, front.boot),
+            CatchUp(front.name, front.sense.seed),
+            TransferLimit(now()),
         )
         self.lies = False  # the lab's: damages what it hands over
         self.shut = None  # since when nothing new is taken
@@ -75,7 +75,7 @@
         more = {
             "list_version": front.book.version or 0,
             "settings": front.mark,
-            "full": full(len(front.viewings), front.site.front.held_most, front.gate.rate is not None),
+            "full": at_capacity(len(front.viewings), front.site.front.held_most, front.gate.rate is not None),
             "slow": front.still.slow(now()),
         }
         if self.on:
@@ -88,13 +88,13 @@
                 "up": front.watch.up,
                 "refused": front.watch.refused,
             }
-        self.board.mine(**more)
+        self.board.update_own(**more)
 
     def rides(self, members):
         if self.front.older:
             return ()
         self.renew()
-        return self.board.rides(members)
+        return self.board.rows_to_send(members)
 
     def full(self):
         """Members that say that they take nothing more, ourselves among them where we don't."""
@@ -104,7 +104,7 @@
     def hear(self, rows, sender):
         time = now()
         for row in rows:
-            self.board.hear(row, sender, self.boot_of, time)
+            self.board.receive(row, sender, self.boot_of, time)
 
     def boot_of(self, name):
         member = self.front.members.shell.swim.members.get(name)
@@ -126,19 +126,19 @@
             return
         time, alive = now(), self.alive()
         self.renew()
-        newest = self.board.look(alive, time)
+        newest = self.board.refresh(alive, time)
         self.mind_floor(time)
         since = self.board.behind_since
         givers = (
             [
                 row.name
-                for row in self.board.living(alive)
-                if row.name != self.front.name and newest is not None and row.at() == newest
+                for row in self.board.live_rows(alive)
+                if row.name != self.front.name and newest is not None and row.version_id() == newest
             ]
             if since is not None
             else ()
         )
-        step = self.up.look(time, since, self.board.count_behind(alive), givers)
+        step = self.up.next_step(time, since, self.board.count_behind(alive), givers)
         if step.nudge:
             self.counts["nudges"] += 1
             self.front.lines.info("behind: source asked anew", since=time - since, newest=newest)
@@ -175,26 +175,26 @@
             result = await self.call(
                 peer, f"/fleet/catalogue?epoch={newest.epoch}&since={since}&from={self.front.name}", FETCH_S
             )
-            told_by = await self.witnesses(peer, newest.epoch, handing.version_of(result.body))
-            epoch, messages = handing.taken(result.body, follower, newest.epoch, told_by)
+            told_by = await self.witnesses(peer, newest.epoch, transfer.version_of(result.body))
+            epoch, messages = transfer.verify(result.body, follower, newest.epoch, told_by)
             self.front.watch.handed(epoch, messages)
             good = True
             self.counts["brought_up"] += 1
             lines.info("brought up", by=peer, epoch=epoch, version=follower.version, bytes=len(result.body))
         except ValueError as bad:
-            lied = getattr(bad, "lied", False)
+            lied = getattr(bad, "bad_copy", False)
             self.counts["copies_refused"] += 1
             lines.warning("copy refused", by=peer, why=str(bad)[:300])
         except OSError as bad:
             lines.info("not brought up", by=peer, detail=str(bad)[:200])
         finally:
-            self.up.came(now(), good, lied)
+            self.up.finished(now(), good, lied)
 
     async def witnesses(self, giver, epoch, version):
         """{name: digest} of others that hold a version, by the members' rows or asked for."""
         rows = [
             row
-            for row in self.board.living(self.alive())
+            for row in self.board.live_rows(self.alive())
             if row.name not in (giver, self.front.name) and row.epoch == epoch
         ]
         told_by = {row.name: row.digest for row in rows if row.version == version and row.digest}
@@ -203,7 +203,7 @@
             with contextlib.suppress(OSError, ValueError):
                 result = await self.call(name, f"/fleet/digest?epoch={epoch}&version={version}", DIGEST_S)
                 told_by[name] = msgspec.json.decode(result.body, type=int)
-        return handing.Told(told_by, len(self.alive()) > 2)
+        return transfer.PeerDigests(told_by, len(self.alive()) > 2)
 
     # The floor
 
@@ -213,7 +213,7 @@
         epoch, _, rest = headers[FLOOR].partition(";")
         floor, _, unknown = rest.partition(";")
         if unknown:
-            self.front.audit.stamps.unknown(box)
+            self.front.audit.stamps.forget(box)
             return
         if not self.on or not floor.isdigit():
             return
@@ -281,7 +281,7 @@
         others = list(self.alive())
         for _ in range(TELLERS):
             if others:
-                others.remove(first := keeper_of(f"floor-{box}", others))
+                others.remove(first := assigned_manager(f"floor-{box}", others))
                 if first == self.front.name:
                     return True
         return False
@@ -337,7 +337,7 @@
                 raise Refusal(404, "this version is not known here")
             exchange.respond(200, [("Content-Type", "application/json")], str(known).encode())
             return
-        if not self.giver.may(now()):
+        if not self.giver.try_begin(now()):
             raise Refusal(503, "others are just being brought up", [("Retry-After", "1")])
         self.own(self.give(exchange, args))
 
@@ -345,10 +345,10 @@
         watch, since, made = self.front.watch, args.get("since", ""), b""
         since = int(since) if since.isdecimal() else -1
         try:
-            made = handing.changes(self.front.name, watch.follower, watch.recent, args.get("epoch"), since)
+            made = transfer.encode_changes(self.front.name, watch.follower, watch.recent, args.get("epoch"), since)
             if made is None:
                 parts = []
-                for part in handing.whole(self.front.name, watch.follower, SLICE):
+                for part in transfer.encode_whole(self.front.name, watch.follower, SLICE):
                     parts.append(part)
                     await asyncio.sleep(0)
                 made = b"".join(parts)
@@ -358,18 +358,18 @@
             exchange.respond(200, [("Content-Type", "application/msgpack")], made)
         finally:  # it counts as out for as long as its bytes may take
             size = len(made or b"")
-            asyncio.get_running_loop().call_later(size / BYTES, self.giver.done, size)
+            asyncio.get_running_loop().call_later(size / BYTES_PER_SECOND, self.giver.done, size)
 
     def tell_account(self, exchange, args):
         account = self.front.audit.account
         if account is None:
             raise Refusal(404, "this manager keeps no account")
         since = int(args["since"]) if args.get("since", "").isdigit() else 0
-        rows = rows_of_account(account, since)
+        rows = rows_since(account, since)
         exchange.respond(
             200,
             [("Content-Type", "application/x-ndjson")],
-            b"".join(msgspec.json.encode(plain(row)) + b"\n" for row in rows),
+            b"".join(msgspec.json.encode(as_plain(row)) + b"\n" for row in rows),
         )
 
     # What is said of it
@@ -392,7 +392,7 @@
                     **row._asdict(),
                     "heard_s_ago": 0
                     if row.name == self.front.name
-                    else (time - self.board.heard_at.get(row.name, time)) / 10_000,
+                    else (time - self.board.received_at.get(row.name, time)) / 10_000,
                 }
                 for row in [self.board.me, *self.board.rows.values()]
             },
--- a/flaxscale/front/front.py
+++ b/flaxscale/front/front.py
@@ -20,7 +20,7 @@
 from ..http1 import fields
 from ..http1.server import Limits
 from ..interface import Outcome
-from ..members import orders
+from ..members import drain_requests
 from ..recovery.boxes import BoxBook
 from ..recovery.keys import Clash, Joined, Kept, KeyBook
 from ..run import AnswerKind, Runner
@@ -130,7 +130,7 @@
         if catalogue_address:
             from ..catalogued.watch import CatalogueWatch  # gRPC is slow to load and most tests need none
 
-            kept = files(f"{state}/catalogue-{self.name}", lasting=False) if state else None
+            kept = files(f"{state}/catalogue-{self.name}", durable=False) if state else None
             self.watch = CatalogueWatch(
                 catalogue_address,
                 self.name,
@@ -145,13 +145,13 @@
         self.peaks = FrontPeaks(
             self,
             catalogue_address,
-            files(f"{state}/peaks-{self.name}", lasting=False) if state and catalogue_address else None,
+            files(f"{state}/peaks-{self.name}", durable=False) if state and catalogue_address else None,
         )
         self.fleet, self.older, self.steps = FrontFleet(self), older, steps or Steps()
         self.tries, self.lent, self.duties = FrontTries(self), FrontLent(self), FrontDuties(self)
         self.members = FrontMembers(self, self.site.front.member_keys, members or (), members is not None, via)
         self.journal = FrontJournal(self, files(f"{state}/keys-{self.name}") if state else None)
-        self.audit = FrontAudit(self, files(f"{state}/account-{self.name}", lasting=False) if state else None)
+        self.audit = FrontAudit(self, files(f"{state}/account-{self.name}", durable=False) if state else None)
         self.gate = Gate(sense.seed, self.site.front.gate)
         self.still = Still(now(), round(LAG_S * 10_000))
         row = self.site.front
@@ -352,7 +352,7 @@
         raise Refusal(404, "the path is /whep/TITLE, /whip/TITLE or /session/NAME")
 
     def drain(self, exchange):
-        """An operators' order to leave service, for us or for another: members.orders has what comes of it."""
+        """An operators' order to leave service, for us or for another: members.drain_requests has what comes of it."""
         self.check_operator(exchange, "only SIGTERM drains it")
         if exchange.request.method == "GET":  # whom an order may name
             lives = {name: self.members.member(name).boot for name in self.members.alive() if name != self.name}
@@ -364,27 +364,27 @@
             return
         args = dict(parse_qsl(exchange.request.target.partition("?")[2]))
         named = args.get("manager", "")
-        to_do = orders.drain(
+        to_do = drain_requests.resolve(
             named, args.get("life", ""), self.name, self.boot, self.server.stopping, self.members.member(named)
         )
         told = {"manager": named or self.name, "viewings": len(self.viewings), "others": len(self.members.alive()) - 1}
         match to_do:
-            case orders.Leave(again):
+            case drain_requests.DrainSelf(again):
                 if self.leave is None:
                     raise Refusal(409, "this manager's program does not end by a call")
                 exchange.respond(202, [("Content-Type", "application/json")], json.dumps(told).encode())
                 if not again:
                     self.lines.info("drain asked for", viewings=len(self.viewings))
                     self.leave()
-            case orders.SendOn(serves):
+            case drain_requests.Forward(serves):
                 raise Refusal(
                     307, f"{named} is asked itself", [("Location", f"http://{serves}{exchange.request.target}")]
                 )
-            case orders.Over(why):
+            case drain_requests.LifeEnded(why):
                 exchange.respond(
                     200, [("Content-Type", "application/json")], json.dumps({"manager": named, "over": why}).encode()
                 )
-            case orders.Unknown():
+            case drain_requests.UnknownManager():
                 raise Refusal(404, f"no manager {named[:60]!r} is known here")
 
     def check_operator(self, exchange, else_only):
@@ -808,7 +808,7 @@
 
     def tell_peers(self, server, kb):
         if self.members.shell:
-            self.members.shell.tell(server, kb)
+            self.members.shell.report_load(server, kb)
 
     def log(self, text):
         self.lines.warning("runner", text=text)
--- a/flaxscale/front/members.py
+++ b/flaxscale/front/members.py
@@ -7,16 +7,24 @@
 import msgspec
 
 from .. import interface
-from ..members.adopt import PAUSE, TRIES, Course, Session, keeper_of, plan, whom
-from ..members.ration import Ration
+from ..members.rate_limit import ClaimRateLimit
 from ..members.seats import SeatBook
-from ..members.shell import MemberShell
 from ..members.swim import State
+from ..members.takeover import (
+    MAX_FAILURES,
+    RETRY_DELAY,
+    ClaimRetry,
+    Session,
+    assigned_manager,
+    next_manager,
+    plan_claims,
+)
+from ..members.udp import MemberSocket
 from ..serve.clock import now
 from ..store.shapes import decoded
 from .boxes import FLOOR
 
-ASK_S, PAUSE_S = 1.0, PAUSE / 10_000
+ASK_S, PAUSE_S = 1.0, RETRY_DELAY / 10_000
 ASKED_MOST = 32  # boxes that are asked at a time
 GONE_MOST = 10_000
 YOUNG_MS = 3000  # a session without media is no orphan before this
@@ -107,7 +115,7 @@
         self.shell, self.jobs, self.on = None, {}, members
         self.taken = self.refused = 0
         self.book = SeatBook(now(), round(front.site.fleet.lease_ms * 10))
-        self.ration, self.asking = Ration(now()), asyncio.Semaphore(ASKED_MOST)
+        self.ration, self.asking = ClaimRateLimit(now()), asyncio.Semaphore(ASKED_MOST)
         self.told, self.timer = None, None
         self.gone_to = OrderedDict()  # viewings that another manager took from us
         self.claiming, self.lost_again = set(), set()  # claims that are out; what of them is over again
@@ -115,7 +123,7 @@
     async def start(self, host, port, serves):
         front = self.front
         if self.on:
-            self.shell = MemberShell(
+            self.shell = MemberSocket(
                 front.name,
                 "%s:%d" % serves,
                 front.boot,
@@ -177,7 +185,7 @@
         """Where to ask for a viewing that is not ours, or None: nobody but us can know."""
         if self.shell is None:
             return None
-        manager = whom(name, self.front.name, self.alive(), self.gone_to.get(name), asked)
+        manager = next_manager(name, self.front.name, self.alive(), self.gone_to.get(name), asked)
         return manager and self.serves(manager)
 
     def takers(self):
@@ -189,7 +197,7 @@
         """Where another manager serves, for a viewer who can't be taken here."""
         others = [n for n in self.alive() if n != self.front.name]
         others = [n for n in others if n in self.takers()] or others
-        return self.serves(keeper_of(str(viewer), others)) if others else None
+        return self.serves(assigned_manager(str(viewer), others)) if others else None
 
     def changed(self, changes):
         if self.shell.swim is not None:
@@ -221,14 +229,14 @@
 
     def said(self, box):
         """Nothing of an earlier life is left at a box that we don't know of."""
-        self.book.said(box)
+        self.book.box_reported(box)
         self.reserve()
 
     def still_away(self, manager):
         return manager == self.front.name or manager not in self.alive()
 
     async def from_box(self, box, manager):
-        course, lent = Course(), self.front.lent
+        course, lent = ClaimRetry(), self.front.lent
         while self.may_take(manager) and (place := self.front.boxes.places.get(box)) is not None:
             try:
                 async with self.asking:
@@ -238,7 +246,7 @@
                         self.call(place, "GET", f"/manager/sessions?of={manager}", None, Sessions),
                         lent.of(manager, box),
                     )
-                    pause = course.came(await self.claim(box, place, manager, found, course.rank, owed))
+                    pause = course.answered(await self.claim(box, place, manager, found, course.rank, owed))
             except (OSError, asyncio.TimeoutError, msgspec.MsgspecError) as bad:
                 pause = course.failed()
                 self.front.lines.info(
@@ -299,7 +307,7 @@
         sessions = [
             Session(r.key, r.owner, r.epoch, cookies[r.key].name, r.media or r.age_ms < YOUNG_MS) for r in rows.values()
         ]
-        made = plan(sessions, manager, front.name, [front.name] if own else self.takers(), rank, owed)
+        made = plan_claims(sessions, manager, front.name, [front.name] if own else self.takers(), rank, owed)
         wanted = sorted(made.claims, key=lambda c: (c.key in made.ends, -front.value_of(cookies[c.key])))
         later = False
         while wanted and self.may_take(manager):
@@ -308,7 +316,7 @@
             if not may:
                 if room <= 0:
                     break  # the next in the order takes them
-                await asyncio.sleep(self.ration.wait() / 10_000)
+                await asyncio.sleep(self.ration.wait_time() / 10_000)
                 continue
             claims, unknown = self.to_claim(box, wanted[:may], own, rows, cookies)
             wanted, later = wanted[may:], later or unknown
@@ -367,7 +375,7 @@
         audit = self.front.audit
         self.claiming.update(claims)
         try:
-            for n in range(TRIES):
+            for n in range(MAX_FAILURES):
                 try:
                     for key in claims:
                         audit.did("claim", key, box)
@@ -375,7 +383,7 @@
                     said = await self.call(
                         place, "POST", "/manager/adopt", {"claims": claims}, Granted, [field, *under]
                     )
-                    audit.stamps.heard(box, place.boot, field[1])
+                    audit.stamps.acknowledged(box, place.boot, field[1])
                     good = [key for key in said.granted if key in claims]
                     for key in self.lost_again.intersection(good):  # refused there where it is another's
                         self.front.let_end(box, key, claims[key], "over meanwhile")
@@ -422,7 +430,7 @@
             "taken_over": self.taken,
             "claims_refused": self.refused,
             "not_heard_yet": len(self.book.reserved(now()).boxes),
-            "stood_still": self.shell.swim.stood,
+            "stood_still": self.shell.swim.stalls,
             "messages_refused": self.shell.refused,
         }
 
@@ -433,7 +441,7 @@
     def back(self):
         """In service again after leaving: others hear so, and what bears our name and nobody took is claimed."""
         if self.shell:
-            self.shell.back()
+            self.shell.rejoin()
         self.take_over(self.front.name)
 
     async def stop(self):
--- a/flaxscale/front/tries.py
+++ b/flaxscale/front/tries.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from ..members.ration import Looks
+from ..members.rate_limit import LookupQueue
 from ..recovery import tries
 from ..serve.clock import now
 from ..signalling.endpoint import Refusal
@@ -35,7 +35,7 @@
 class FrontTries:
     def __init__(self, front):
         self.front, self.book, self.jobs = front, tries.TryBook(), {}
-        self.looks, self.turns = Looks(), {}  # viewing id: a Future of its turn
+        self.looks, self.turns = LookupQueue(), {}  # viewing id: a Future of its turn
         self.counts = dict.fromkeys(("looked_up", "found", "joined", "not_heard", "waited"), 0)
 
     def stop(self):
@@ -97,14 +97,14 @@
                 front.answer_early(vw, NOT_KNOWN)
         finally:
             self.turns.pop(vw.id, None)
-            following = self.turns.get(self.looks.over(vw.id))
+            following = self.turns.get(self.looks.leave(vw.id))
             if following is not None and not following.done():
                 following.set_result(True)
 
     async def turn(self, vw, due):
         """Waits until this look-up may go on; False where its patience ends before that."""
         package = self.front.entry(vw.offer.title, vw.offer.sends)[1]
-        if self.looks.come(vw.id, self.front.site.packages[package].value if package else 0):
+        if self.looks.enter(vw.id, self.front.site.packages[package].value if package else 0):
             return True
         self.counts["waited"] += 1
         turn = self.turns[vw.id] = asyncio.get_running_loop().create_future()
--- a/flaxscale/lab/accounts.py
+++ b/flaxscale/lab/accounts.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from ..audit.account import plain, rows_of
+from ..audit.account import as_plain, rows_in
 from ..store.files import Files
 from ..store.log import Log, StoreError
 
@@ -10,7 +10,7 @@
 def write_account(folder, file):
     """Writes what an account holds; one that can't be read leaves a file that says why."""
     try:
-        rows = [plain(row) for row in rows_of(Log(Files(folder)).found)]
+        rows = [as_plain(row) for row in rows_in(Log(Files(folder)).found)]
     except (StoreError, ValueError, OSError) as bad:
         rows = [{"what": "unreadable", "detail": str(bad)}]
     file.write_bytes(b"".join(msgspec.json.encode(row) + b"\n" for row in rows))
--- a/flaxscale/leases/duties.py
+++ b/flaxscale/leases/duties.py
@@ -24,7 +24,7 @@
 }
 COMPACT_OVER = 200  # records in the log that make a compaction worth its while
 ORPHAN_AFTER = 50_000  # a session without a living manager is left so long to those who may take it over
-RETRY = 10_000  # a duty that failed is tried again after this
+RETRY_AFTER = 10_000  # a duty that failed is tried again after this
 REMEMBERED = 20_000  # such sessions that one sweeper remembers
 
 
@@ -61,20 +61,20 @@
     epoch: int
 
 
-class Sweep:
+class OrphanScan:
     """One sweeper's view of a box: sessions whose manager does not live, and since when it sees them so."""
 
     def __init__(self):
         self.since = {}  # (key, owner, epoch): when it was first seen so
 
-    def look(self, sessions, alive, now):
+    def overdue(self, sessions, alive, now):
         """sessions: [(key, owner, epoch)] of a box. Those to end now."""
         lone = [Orphan(*s) for s in sessions if s[1] not in alive]
         self.since = {s: self.since.get(s, now) for s in lone[:REMEMBERED]}
         return [s for s, at in self.since.items() if now - at >= ORPHAN_AFTER]
 
 
-class Turns:
+class Schedule:
     """When a piece is due: once a period, counted from when it was done last, by whomever does it now."""
 
     def __init__(self):
@@ -86,14 +86,14 @@
     def begin(self, piece):
         self.under_way.add(piece)
 
-    def over(self, piece, now):
+    def done(self, piece, now):
         self.under_way.discard(piece)
         self.done_at[piece] = now
 
     def failed(self, piece, task, now):
         """It was not done: it is due again after a while, not at once."""
         self.under_way.discard(piece)
-        self.done_at[piece] = now - task.period + min(task.period, RETRY)
+        self.done_at[piece] = now - task.period + min(task.period, RETRY_AFTER)
 
     def forget(self, pieces):
         """What is no longer ours is due at once when it is ours again."""
--- a/flaxscale/leases/fence.py
+++ b/flaxscale/leases/fence.py
@@ -28,7 +28,7 @@
     def dump(self):
         return msgspec.msgpack.encode(Kept(SHAPE, self.last))
 
-    def takes(self, piece, token, owner):
+    def accepts(self, piece, token, owner):
         """Whether an act under this token may take effect here; from then on no older one does."""
         held, by = self.last.get(piece, (0, ""))
         if token < held or token == held and owner != by or token <= 0:
--- a/flaxscale/leases/granter.py
+++ b/flaxscale/leases/granter.py
@@ -75,47 +75,47 @@
     def __init__(self, tasks, now, count=0, rows=(), past=(), opened=None):
         """tasks: {name: Task}. rows: {piece: Row}. opened: from when on something new may be granted."""
         self.tasks, self.count, self.rows, self.past = tasks, count, dict(rows), list(past)
-        longest = max((task.waited() for task in tasks.values()), default=0)
+        longest = max((task.granter_span() for task in tasks.values()), default=0)
         self.opened = now + longest if opened is None else opened
 
     # What is asked
 
-    def ask(self, piece, owner, token, now):
+    def request(self, piece, owner, token, now):
         """A grant for `owner`, who says that it holds the piece under this token (0: it does not). Granted or Busy."""
         task, row = self.task(piece), self.rows.get(piece)
         if task is None:
             return Busy(piece, "", 0, 1 << 40)
-        self.seen(token)
+        self.observe_token(token)
         mine = row is not None and (row.owner, row.token) == (owner, token)
         if token and (mine or row is None or token > row.token and now < self.opened):
             # It holds it still. Where our row is older or none our store was put back, and this is news.
-            self.rows[piece] = Row(owner, token, now + task.waited())
+            self.rows[piece] = Row(owner, token, now + task.granter_span())
             if not mine:
-                self.note(piece, "taken on", owner, token)
+                self.add_event(piece, "taken on", owner, token)
             return Granted(piece, token, not mine)
         if row is not None and row.until > now and row.owner != owner:
             return Busy(piece, row.owner, row.token, row.until - now)
         if now < self.opened:
             return Busy(piece, "", 0, self.opened - now)
         self.count += 1
-        self.rows[piece] = Row(owner, self.count, now + task.waited())
-        self.note(piece, "granted", owner, self.count)
+        self.rows[piece] = Row(owner, self.count, now + task.granter_span())
+        self.add_event(piece, "granted", owner, self.count)
         return Granted(piece, self.count, True)
 
-    def give(self, piece, owner, token, now):
+    def release(self, piece, owner, token, now):
         """Its holder needs it no longer and acts no more: True where that is new."""
         row = self.rows.get(piece)
         if row is None or (row.owner, row.token) != (owner, token) or row.until <= now:
             return False
         self.rows[piece] = row._replace(until=now)
-        self.note(piece, "given", owner, token)
+        self.add_event(piece, "given", owner, token)
         return True
 
-    def seen(self, token):
+    def observe_token(self, token):
         """A token that somebody knows of: no later grant has one as low."""
         self.count = max(self.count, token)
 
-    def era(self, wall_s):
+    def start_era(self, wall_s):
         """This life counts from here on."""
         self.count = max(self.count, int(wall_s) << ERA_BITS)
 
@@ -127,7 +127,7 @@
         row = self.rows.get(piece)
         return row is not None and (row.owner, row.token) == (owner, token)
 
-    def note(self, piece, what, owner, token):
+    def add_event(self, piece, what, owner, token):
         self.past = [*self.past[-HISTORY + 1 :], Event(piece, what, owner, token)]
 
     # What is durable
@@ -137,12 +137,12 @@
         last = self.past[-1]
         return msgspec.msgpack.encode(Record(SHAPE, self.count, last.piece, last.what, last.owner, last.token))
 
-    def take(self, data, now):
+    def replay(self, data, now):
         """A record of an earlier life. ValueError: not of this program's making."""
         row = decoded(data, Record, SHAPE, "grant")
         self.count = max(self.count, row.count)
         self.rows[row.piece] = Row(row.owner, row.token, now)
-        self.note(row.piece, row.what, row.owner, row.token)
+        self.add_event(row.piece, row.what, row.owner, row.token)
 
     def dump(self):
         return msgspec.msgpack.encode(
--- a/flaxscale/leases/holder.py
+++ b/flaxscale/leases/holder.py
@@ -12,10 +12,10 @@
 from ..chance import drawn
 from .terms import RENEWALS
 
-AGAIN = 5_000  # an asking without an answer is given up
-DEAF = 15_000  # asked for so long without a word: the way to the granter only seems to stand
-PAUSE, PAUSE_MOST = 2_500, 50_000  # between two askings for what is refused or not answered
-RUSH = 100  # members that may come at once after an outage; beyond that they spread
+REQUEST_TIMEOUT = 5_000  # an asking without an answer is given up
+SILENCE_TIMEOUT = 15_000  # asked for so long without a word: the way to the granter only seems to stand
+RETRY_DELAY, MAX_RETRY_DELAY = 2_500, 50_000  # between two askings for what is refused or not answered
+RECONNECTS_PER_SECOND = 100  # members that may come at once after an outage; beyond that they spread
 
 
 class Lease(NamedTuple):
@@ -24,7 +24,7 @@
     until: int  # no act after it
 
 
-class Wanted:
+class WantedPiece:
     """One piece that is ours to hold by the shares."""
 
     __slots__ = "task", "token", "until", "asked_at", "number", "next_at", "failed", "closing"
@@ -37,8 +37,8 @@
 class Holder:
     def __init__(self, owner, seed, now):
         self.owner, self.seed, self.draws, self.number = owner, seed, 0, 0
-        self.wanted, self.up, self.refused = {}, False, {}  # refused: {piece: (owner, token, left)} as last told
-        self.seen = 0  # the highest token that anybody told us of
+        self.wanted, self.connected, self.refused = {}, False, {}  # refused: {piece: (owner, token, left)} as last told
+        self.highest_token = 0  # the highest token that anybody told us of
         self.asked_since = None  # the first asking since the granter was last heard
 
     def chance(self):
@@ -47,32 +47,32 @@
 
     # What is ours to hold
 
-    def wants(self, tasks, now):
+    def set_wanted(self, tasks, now):
         """tasks: {piece: Task} that the shares give us. What is no longer ours is given back after its step."""
         for piece in self.wanted.keys() - tasks.keys():
             self.wanted[piece].closing = True
         for piece, task in tasks.items():
             held = self.wanted.get(piece)
             if held is None:
-                self.wanted[piece] = Wanted(task, now)
+                self.wanted[piece] = WantedPiece(task, now)
             else:
                 held.task, held.closing = task, False
 
-    def source(self, up, members, now):
+    def set_connected(self, up, members, now):
         """The way to the granter stands, or is gone. Many that come back do so spread over a while."""
-        if up and not self.up:
-            spread = 10_000 * members / RUSH
+        if up and not self.connected:
+            spread = 10_000 * members / RECONNECTS_PER_SECOND
             for held in self.wanted.values():
                 held.asked_at, held.failed = None, 0
                 if not self.holds_one(held, now):
                     held.next_at = now + round(spread * self.chance())
-        self.up, self.asked_since = up, None
+        self.connected, self.asked_since = up, None
 
-    def deaf(self, now):
+    def granter_silent(self, now):
         """Whether nothing was heard of the granter although we ask and ask. A stream that is cut silently never ends by
         itself: a holder behind one kept its shares, and nobody else asked for them, for as long as the cut lasted.
         """
-        return self.up and self.asked_since is not None and now - self.asked_since >= DEAF
+        return self.connected and self.asked_since is not None and now - self.asked_since >= SILENCE_TIMEOUT
 
     # Asking
 
@@ -81,12 +81,12 @@
 
         Where one must be renewed, what would be renewed soon goes along: many pieces cost one message a renewal.
         """
-        if not self.up:
+        if not self.connected:
             return []
         ready, soon = [], []
         for piece, held in sorted(self.wanted.items()):
             if held.asked_at is not None:
-                if now - held.asked_at < AGAIN:
+                if now - held.asked_at < REQUEST_TIMEOUT:
                     continue
                 held.asked_at = None
                 self.put_off(held, now)
@@ -106,23 +106,25 @@
 
     def put_off(self, held, now):
         held.failed += 1
-        held.next_at = now + round(min(PAUSE_MOST, PAUSE * 2 ** min(held.failed, 6)) * (0.5 + 0.5 * self.chance()))
+        held.next_at = now + round(
+            min(MAX_RETRY_DELAY, RETRY_DELAY * 2 ** min(held.failed, 6)) * (0.5 + 0.5 * self.chance())
+        )
 
     def granted(self, piece, number, token, now):
         """An answer to the asking of this number; True where it makes us a holder who was none before."""
-        self.seen, self.asked_since = max(self.seen, token), None
+        self.highest_token, self.asked_since = max(self.highest_token, token), None
         held = self.wanted.get(piece)
         if held is None or held.asked_at is None or held.number != number:
             return False  # of an asking that was given up: when it was asked is not known any more
         began, held.asked_at, held.failed = held.asked_at, None, 0
         fresh = not self.holds_one(held, now) or token != held.token
-        held.token, held.until = token, began + held.task.usable()
+        held.token, held.until = token, began + held.task.holder_span()
         held.next_at = began + round(held.task.span / RENEWALS * (0.9 + 0.1 * self.chance()))
         self.refused.pop(piece, None)
         return fresh
 
     def busy(self, piece, number, owner, token, left, now):
-        self.seen, self.asked_since = max(self.seen, token), None
+        self.highest_token, self.asked_since = max(self.highest_token, token), None
         held = self.wanted.get(piece)
         if held is None or held.asked_at is None or held.number != number:
             return
@@ -131,11 +133,11 @@
             held.token = 0
         self.refused[piece] = owner, token, left
         self.put_off(held, now)
-        held.next_at = max(held.next_at, min(now + left + round(PAUSE * self.chance()), now + PAUSE_MOST))
+        held.next_at = max(held.next_at, min(now + left + round(RETRY_DELAY * self.chance()), now + MAX_RETRY_DELAY))
 
     def outdated(self, piece, token):
         """A resource refused an act of ours: it knows a later token, or this one of another owner."""
-        self.seen = max(self.seen, token)
+        self.highest_token = max(self.highest_token, token)
         if (held := self.wanted.get(piece)) is not None:
             held.token = held.until = 0
 
@@ -156,7 +158,7 @@
             return None
         return Lease(piece, held.token, held.until)
 
-    def give(self, now, busy=()):
+    def releases(self, now, busy=()):
         """[(piece, token)] to give back: no longer ours, and none of its steps (busy: pieces) is under way."""
         out = []
         for piece, held in list(self.wanted.items()):
@@ -167,8 +169,8 @@
                 self.refused.pop(piece, None)
         return out
 
-    def leave(self, now, busy=()):
+    def release_all(self, now, busy=()):
         """A planned stop: all is given back that no step is under way of."""
         for held in self.wanted.values():
             held.closing = True
-        return self.give(now, busy)
+        return self.releases(now, busy)
--- a/flaxscale/leases/shares.py
+++ b/flaxscale/leases/shares.py
@@ -12,7 +12,7 @@
 import xxhash
 
 
-class Fit(NamedTuple):
+class Candidate(NamedTuple):
     """A manager as the others know it."""
 
     name: str
--- a/flaxscale/leases/terms.py
+++ b/flaxscale/leases/terms.py
@@ -21,15 +21,15 @@
     drift: float = DRIFT
     pieces: bool = False
 
-    def usable(self):
+    def holder_span(self):
         """How long a holder may act on one grant."""
         return round(self.span * (1 - self.drift))
 
-    def waited(self):
+    def granter_span(self):
         """How long the granter keeps a piece for its holder after its last grant."""
         return round(self.span * (1 + self.drift)) + 1
 
-    def fault(self):
+    def error(self):
         """Why these figures can't go together, or None."""
         if not 0 <= self.drift < 0.5:
             return f"a drift of 0 up to 0.5 expected: {self.drift:g}"
--- a/flaxscale/members/orders.py
+++ b/flaxscale/members/drain_requests.py
@@ -11,29 +11,29 @@
 from .swim import State
 
 
-class Leave(NamedTuple):
+class DrainSelf(NamedTuple):
     """It is meant for us: we leave. again: we are leaving already."""
 
     again: bool
 
 
-class SendOn(NamedTuple):
+class Forward(NamedTuple):
     """It is meant for another that lives."""
 
     serves: str
 
 
-class Over(NamedTuple):
+class LifeEnded(NamedTuple):
     """That life has ended; why in words."""
 
     why: str
 
 
-class Unknown(NamedTuple):
+class UnknownManager(NamedTuple):
     pass
 
 
-def drain(named, life, me, boot, leaving, member):
+def resolve(named, life, me, boot, leaving, member):
     """What an order to drain comes to at the manager `me`, in its life `boot`.
 
     named, life: whom it is for; empty: who is asked, in whatever life. member: what we hold of the one named
@@ -41,14 +41,14 @@
     """
     if named in ("", me):
         if life not in ("", boot):
-            return Over(f"{me} has begun anew since")
-        return Leave(leaving)
+            return LifeEnded(f"{me} has begun anew since")
+        return DrainSelf(leaving)
     if member is None:
-        return Unknown()
+        return UnknownManager()
     if life and member.boot != life:
-        return Over(f"{named} has begun anew since")
+        return LifeEnded(f"{named} has begun anew since")
     if member.state is State.LEFT:
-        return Over(f"{named} has left")
+        return LifeEnded(f"{named} has left")
     if member.state is State.DEAD:
-        return Over(f"{named} is dead")
-    return SendOn(member.serves)
+        return LifeEnded(f"{named} is dead")
+    return Forward(member.serves)
--- a/flaxscale/members/seats.py
+++ b/flaxscale/members/seats.py
@@ -37,7 +37,7 @@
         self.unheard.update(new)
         return bool(new)
 
-    def said(self, box):
+    def box_reported(self, box):
         """A box told all that it has of an earlier life, and all of it is claimed, ended or another's."""
         self.heard.add(box)
         self.unheard.discard(box)
--- a/flaxscale/members/swim.py
+++ b/flaxscale/members/swim.py
@@ -25,12 +25,12 @@
 SUSPECT_PERIODS = 3.0  # times log10 of the members, at least this many: until a suspect is dead
 TELLINGS = 2  # times log2 of the members: how often a piece of news is told
 WARNERS = 6  # members that tell a suspect of it in one period
-NEWS = 14  # pieces of news in one message
+MAX_UPDATES = 14  # pieces of news in one message
 LOSSY, LATEST = 6.0, 0.1  # a suspicion lasts longer by so many times our own lost probes; weight of the last one
 VOUCHED = 2  # as many count as lost, of a member that others only say lives
 UNSURE = 8  # unanswered probes of one member that are remembered until it is heard, or dead
-STOOD = 2 * PERIOD  # a tick later than this: it was us who stood still
-FORGET = 600 * PERIOD  # the dead are known so long, so that old news of them is told from new
+STALL_LIMIT = 2 * PERIOD  # a tick later than this: it was us who stood still
+FORGET_AFTER = 600 * PERIOD  # the dead are known so long, so that old news of them is told from new
 
 
 class State(Enum):
@@ -42,7 +42,7 @@
     LEFT = 3
 
 
-class News(NamedTuple):
+class Update(NamedTuple):
     """What is said of a member. boot: which start of its process. serves: where its clients ask."""
 
     name: str
@@ -61,7 +61,7 @@
     sender: str
     target: str
     news: tuple
-    held: tuple = ()  # rows of versions.board, which ride along
+    held: tuple = ()  # rows of versions.table, which ride along
 
 
 class Member:
@@ -76,7 +76,7 @@
         self.since = now
 
     def news(self):
-        return News(self.name, self.address, self.state, self.incarnation, self.boot, self.serves)
+        return Update(self.name, self.address, self.state, self.incarnation, self.boot, self.serves)
 
 
 class Probe:
@@ -89,16 +89,16 @@
 
 
 class Swim:
-    """tick() and heard() return messages to send, as (address, Message). changes: what was learned, for the owner."""
+    """tick() and receive() return messages to send, as (address, Message). changes: what was learned, for the owner."""
 
     def __init__(self, name, address, boot, seed, now, incarnation=0, serves=""):
         self.name, self.seed, self.draws, self.seq = name, seed, 0, 0
-        self.me = News(name, address, State.ALIVE, incarnation, boot, serves)
+        self.me = Update(name, address, State.ALIVE, incarnation, boot, serves)
         self.members, self.order, self.probes = {}, [], {}
-        self.told, self.changes = {}, []  # told: {name: times that its news were told}
+        self.transmissions, self.changes = {}, []  # transmissions: {name: times that its news were told}
         self.next_at, self.ticked_at, self.seeds = now, now, ()
-        self.stood = 0  # how often it stood still
-        self.lost = 0.0  # share of our first probes that got lost, lately
+        self.stalls = 0  # how often it stood still
+        self.probe_loss = 0.0  # share of our first probes that got lost, lately
         self.unsure = {}  # {name: unanswered ones}: lost, if it lives
         self.vouched = {}  # {name: of those, counted on the word of others}
 
@@ -130,7 +130,7 @@
         return round(
             PERIOD
             * max(SUSPECT_PERIODS, SUSPECT_PERIODS * math.log10(self.count() + 1))
-            * (1 + LOSSY * max(0.0, self.lost - LATEST))
+            * (1 + LOSSY * max(0.0, self.probe_loss - LATEST))
         )
 
     def asked(self):
@@ -139,10 +139,10 @@
         With three, at a loss of 30% a fifth of all probes end in a false suspicion; with 300 members those and what
         refutes them are more news than messages carry, so that refutations came late and the living were called dead.
         """
-        return min(ASKED_MOST, ASKED + round(ASKED * LOSSY * max(0.0, self.lost - LATEST)))
+        return min(ASKED_MOST, ASKED + round(ASKED * LOSSY * max(0.0, self.probe_loss - LATEST)))
 
     def probed_by_us(self, answered):
-        self.lost += LATEST * ((0.0 if answered else 1.0) - self.lost)
+        self.probe_loss += LATEST * ((0.0 if answered else 1.0) - self.probe_loss)
 
     def lives(self, name):
         """We hear a member: what it did not answer was lost on the way. Of one that is dead that says nothing of our
@@ -160,9 +160,9 @@
         if lost:
             self.vouched[name] = min(VOUCHED, counted + lost)
 
-    # News
+    # Update
 
-    def learn(self, news, now):
+    def apply_update(self, news, now):
         """Takes one piece of news; True where it was new to us."""
         if news.name == self.name:
             return self.of_me(news)
@@ -187,11 +187,11 @@
         if before is not news.state or other_start or address != news.address:
             self.note(news)
         else:
-            self.told[news.name] = 0
+            self.transmissions[news.name] = 0
         return True
 
     def note(self, news):
-        self.told[news.name] = 0
+        self.transmissions[news.name] = 0
         self.changes.append(news)
 
     def of_me(self, news):
@@ -201,7 +201,7 @@
         if news.state is State.ALIVE and (news.incarnation == self.me.incarnation and news.boot == self.me.boot):
             return False
         self.me = self.me._replace(incarnation=news.incarnation + 1)
-        self.told[self.name] = 0
+        self.transmissions[self.name] = 0
         return True
 
     def rides(self, whole=False):
@@ -219,14 +219,14 @@
             member = self.members.get(item[0])
             return member is None or member.state is State.ALIVE and not member.incarnation, item[1], item[0]
 
-        for name, times in sorted(self.told.items(), key=turn):
-            if len(out) >= NEWS:
+        for name, times in sorted(self.transmissions.items(), key=turn):
+            if len(out) >= MAX_UPDATES:
                 break
             if name != self.name and name in self.members:
                 out.append(self.members[name].news())
-            self.told[name] = times + 1
+            self.transmissions[name] = times + 1
             if times + 1 >= most:
-                del self.told[name]
+                del self.transmissions[name]
         return tuple(out)
 
     # Time
@@ -237,9 +237,9 @@
 
     def tick(self, now):
         out = []
-        if now - self.ticked_at > STOOD:
+        if now - self.ticked_at > STALL_LIMIT:
             # What was missed while we stood still says nothing about others.
-            self.stood += 1
+            self.stalls += 1
             self.probes.clear()
             for member in self.members.values():
                 if member.state is State.SUSPECT:
@@ -261,16 +261,16 @@
                 for other in self.some(others, self.asked()):
                     out.append((other.address, self.message("ask", seq, probe.target)))
                 target = self.members.get(probe.target)
-                if target is not None and self.lost > LATEST:
+                if target is not None and self.probe_loss > LATEST:
                     out.append((target.address, self.message("ping", seq, probe.target)))
         span = self.suspicion()  # once for all: with 300 members it is what a tick costs
         for member in list(self.members.values()):
             if member.state is State.SUSPECT and now - member.since >= span:
-                self.learn(member.news()._replace(state=State.DEAD), now)
+                self.apply_update(member.news()._replace(state=State.DEAD), now)
                 span = self.suspicion()
-            elif member.state in (State.DEAD, State.LEFT) and now - member.since > FORGET:
+            elif member.state in (State.DEAD, State.LEFT) and now - member.since > FORGET_AFTER:
                 del self.members[member.name]
-                self.told.pop(member.name, None)
+                self.transmissions.pop(member.name, None)
         if now >= self.next_at:
             self.next_at = now + PERIOD
             out += self.probe(now)
@@ -327,22 +327,22 @@
     def missed(self, probe, now):
         member = self.members.get(probe.target)
         if member is not None and member.state is State.ALIVE:
-            self.learn(member.news()._replace(state=State.SUSPECT), now)
+            self.apply_update(member.news()._replace(state=State.SUSPECT), now)
 
     # Messages
 
-    def back(self):
+    def rejoin(self):
         """Takes part again after it left: with a higher incarnation, so that this overrules its leaving."""
         self.me = self.me._replace(state=State.ALIVE, incarnation=self.me.incarnation + 1)
-        self.told[self.name] = 0
+        self.transmissions[self.name] = 0
         return [(m.address, self.message("ping", self.number(), m.name)) for m in self.probed()]
 
-    def heard(self, message, address, now):
+    def receive(self, message, address, now):
         """address: where it came from."""
         self.lives(message.sender)
         known = message.sender in self.members and self.members[message.sender].state is not State.DEAD
         for news in message.news:
-            self.learn(news, now)
+            self.apply_update(news, now)
         # Another start of its process, which nobody called dead yet: it must hear what is said of it, and all else.
         said = next((news for news in message.news if news.name == message.sender), None)
         held = self.members.get(message.sender)
@@ -381,6 +381,6 @@
         self.me = self.me._replace(state=State.LEFT)
         return [(m.address, self.message("ping", self.number(), m.name)) for m in self.probed()]
 
-    def taken_changes(self):
+    def take_changes(self):
         changes, self.changes = self.changes, []
         return changes
--- a/flaxscale/members/adopt.py
+++ b/flaxscale/members/takeover.py
@@ -19,12 +19,12 @@
     return xxhash.xxh3_64_intdigest(f"{manager}\0{name}".encode()), manager
 
 
-def keeper_of(name, alive):
+def assigned_manager(name, alive):
     """The manager among `alive` that a viewing's name belongs to; None where there is none."""
     return max(alive, key=lambda manager: weight(manager, name), default=None)
 
 
-def rank_of(name, alive, me):
+def assignment_rank(name, alive, me):
     """1 for the one that a viewing's name belongs to, 2 for the next in the hashing's order ...; None: not of them."""
     mine = weight(me, name)
     return 1 + sum(weight(manager, name) > mine for manager in alive) if me in alive else None
@@ -33,7 +33,7 @@
 HOPS = 4  # managers that a client is sent through in search of its viewing
 
 
-def whom(name, me, alive, gone_to, asked):
+def next_manager(name, me, alive, gone_to, asked):
     """Who may have a viewing that `me` has not: whom a box named, who set it up, then the hashing's order; or None.
 
     asked: who was asked before and did not have it, so that nobody is sent in a circle.
@@ -72,48 +72,48 @@
     next: int | None  # the lowest rank at which something of the rest would be ours
 
 
-def plan(sessions, dead, me, alive, rank=1, owed=None):
+def plan_claims(sessions, dead, me, alive, rank=1, pending_releases=None):
     """What this manager claims of the sessions that a box holds of a dead one.
 
     alive: those that may take something over. rank: it claims what is its own, and what those before it in the order,
     up to this rank, have left unclaimed: one may have died in the middle of it, or can't reach the box.
-    owed: {key: epoch} of the ends that the dead one owed there.
+    pending_releases: {key: epoch} of the ends that the dead one owed there.
     """
     claims, ends, later = [], [], set()
     for s in sessions:
-        if s.owner != dead or (mine := rank_of(s.name, alive, me)) is None:
+        if s.owner != dead or (mine := assignment_rank(s.name, alive, me)) is None:
             continue
         if mine > rank:
             later.add(mine)
             continue
         claims.append(Claim(s.key, s.epoch + 1))
-        if not s.used or (owed or {}).get(s.key) == s.epoch:
+        if not s.used or (pending_releases or {}).get(s.key) == s.epoch:
             ends.append(s.key)
     return Plan(tuple(claims), tuple(ends), min(later, default=None))
 
 
-ROUND, PAUSE, TRIES = 8_000, 2_500, 16  # tenths of a millisecond; and askings that may fail
+RANK_DELAY, RETRY_DELAY, MAX_FAILURES = 8_000, 2_500, 16  # tenths of a millisecond; and askings that may fail
 
 
-class Course:
-    """When one manager asks one box anew for the sessions of a dead one. Only what failed counts against TRIES: what is
-    left because the ration was used up comes in a moment, however much there is."""
+class ClaimRetry:
+    """When one manager asks one box anew for the sessions of a dead one. Only what failed counts against MAX_FAILURES:
+    what is left because the ration was used up comes in a moment, however much there is."""
 
     def __init__(self):
         self.rank, self.failures = 1, 0
 
-    def came(self, again):
+    def answered(self, again):
         """again: the rank at which something is left to claim, or None. The pause until then; None: it is over."""
         if again is None:
             return None
-        pause = ROUND * (again - self.rank) if again > self.rank else PAUSE
+        pause = RANK_DELAY * (again - self.rank) if again > self.rank else RETRY_DELAY
         self.rank, self.failures = again, 0
         return pause
 
     def failed(self):
         """The box did not answer."""
         self.failures += 1
-        return PAUSE if self.failures < TRIES else None
+        return RETRY_DELAY if self.failures < MAX_FAILURES else None
 
 
 class Fence:
@@ -125,7 +125,7 @@
     def begin(self, key, owner):
         self.held.setdefault(key, (owner, 0))
 
-    def over(self, key):
+    def remove(self, key):
         self.held.pop(key, None)
 
     def owner(self, key):
@@ -146,6 +146,6 @@
         self.held[key] = owner, epoch
         return True
 
-    def obeys(self, key, epoch, owner):
+    def accepts(self, key, epoch, owner):
         """Whether an order of this manager, under this epoch, counts. A session not held any more fences nobody."""
         return key not in self.held or self.held[key] == (owner, epoch)
--- a/flaxscale/members/shell.py
+++ b/flaxscale/members/udp.py
@@ -11,16 +11,16 @@
 WORDS = 60  # in one datagram
 
 
-class MemberShell(asyncio.DatagramProtocol):
-    def __init__(self, name, serves, boot, seed, keys, log, changed, word, via=None, versions=None):
-        """keys: [bytes], the first signs. changed([News]); word(sender, box, kB a second): as they are heard.
+class MemberSocket(asyncio.DatagramProtocol):
+    def __init__(self, name, serves, boot, seed, keys, log, changed, load_changed, via=None, versions=None):
+        """keys: [bytes], the first signs. changed([Update]); load_changed(sender, box, kB a second): as they are heard.
 
         versions: gives rows that ride on each message, and hears those of others; None: none.
         via: {address: the address by which we reach it}, where that is another one.
         """
         self.via, self.versions = via or {}, versions
         self.name, self.serves, self.boot, self.seed, self.keys = name, serves, boot, seed, keys
-        self.log, self.changed, self.word = log, changed, word
+        self.log, self.changed, self.load_changed = log, changed, load_changed
         self.swim, self.transport, self.timer, self.words, self.wording = None, None, None, {}, None
         self.refused = 0
         self.muted = False  # tests: nothing comes or goes, as in a partition
@@ -46,7 +46,7 @@
         self.timer = asyncio.get_running_loop().call_later(max(0.001, (self.swim.due() - now()) / 10_000), self.ring)
 
     def hear_changes(self):
-        if changes := self.swim.taken_changes():
+        if changes := self.swim.take_changes():
             for news in changes:
                 self.log.info(
                     "member",
@@ -81,11 +81,11 @@
             return
         if isinstance(message, tuple) and message[0] == "word":
             for box, kb in message[2]:
-                self.word(message[1], box, kb)
+                self.load_changed(message[1], box, kb)
             return
         if self.versions is not None and message.held:
             self.versions.hear(message.held, message.sender)
-        self.send(self.swim.heard(message, "%s:%d" % addr[:2], now()))
+        self.send(self.swim.receive(message, "%s:%d" % addr[:2], now()))
         self.hear_changes()
 
     def error_received(self, error):
@@ -93,7 +93,7 @@
 
     # Words: what this manager asks of a box has changed
 
-    def tell(self, box, kb):
+    def report_load(self, box, kb):
         self.words[box] = self.words.get(box, 0.0) + kb
         if self.wording is None:
             self.wording = asyncio.get_running_loop().call_later(GATHER_S, self.tell_now)
@@ -101,15 +101,15 @@
     def tell_now(self):
         self.wording, words, self.words = None, list(self.words.items()), {}
         for n in range(0, len(words), WORDS):
-            data = wire.encode_words(self.name, words[n : n + WORDS], self.keys[0])
+            data = wire.encode_load(self.name, words[n : n + WORDS], self.keys[0])
             for member in self.swim.probed():
                 self.put(member.address, data)
 
     def leave(self):
         self.send(self.swim.leave())
 
-    def back(self):
-        self.send(self.swim.back())
+    def rejoin(self):
+        self.send(self.swim.rejoin())
         self.set_timer()
 
     def close(self):
--- a/flaxscale/members/wire.py
+++ b/flaxscale/members/wire.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
-from ..versions.board import Row as BoardRow
-from .swim import Message, News, State
+from ..versions.table import Row as BoardRow
+from .swim import Message, State, Update
 
-MARK, TAG, MOST = b"FM1", 16, 1400
+MARK, TAG, MAX_BYTES = b"FM1", 16, 1400
 STATES = tuple(State)
 SAME = "="
 
@@ -26,7 +26,7 @@
 
 
 class Held(msgspec.Struct, array_like=True):
-    """A row of versions.board."""
+    """A row of versions.table."""
 
     name: str
     boot: str
@@ -114,15 +114,15 @@
         data = seal(
             msgspec.msgpack.encode(Sent(message.kind, message.seq, message.sender, message.target, rows, [], held)), key
         )
-        if len(data) <= MOST or len(rows) <= 1 and not held:
+        if len(data) <= MAX_BYTES or len(rows) <= 1 and not held:
             return data
         if held:
             held.pop()
         else:
-            rows = rows[: max(1, len(rows) * MOST // len(data))]
+            rows = rows[: max(1, len(rows) * MAX_BYTES // len(data))]
 
 
-def encode_words(sender, words, key):
+def encode_load(sender, words, key):
     return seal(msgspec.msgpack.encode(Sent("word", 0, sender, "", [], words)), key)
 
 
@@ -131,7 +131,7 @@
     try:
         sent = msgspec.msgpack.decode(opened(data, keys), type=Sent)
         news = tuple(
-            News(r.name, r.address, STATES[r.state], r.incarnation, r.boot, r.serves)
+            Update(r.name, r.address, STATES[r.state], r.incarnation, r.boot, r.serves)
             for r in sent.news
             if 0 <= r.state < len(STATES)
         )
--- a/flaxscale/model/duties.py
+++ b/flaxscale/model/duties.py
@@ -10,7 +10,7 @@
 from ..leases.fence import Fence
 from ..leases.granter import Granted, Granter
 from ..leases.holder import Holder
-from ..leases.shares import Fit, eligible, share
+from ..leases.shares import Candidate, eligible, share
 
 NET = 5
 TICK = 2_000  # a manager looks at its leases so often, as front/duties.py does
@@ -44,11 +44,11 @@
         if not self.up or stream != holder.stream:
             return
         now, told, new = self.world.now, [], False
-        self.granter.seen(holder.holder.seen)
+        self.granter.observe_token(holder.holder.highest_token)
         for piece, token in given:
-            new |= self.granter.give(piece, holder.owner, token, now)
+            new |= self.granter.release(piece, holder.owner, token, now)
         for piece, token, number in asked:
-            answer = self.granter.ask(piece, holder.owner, token, now)
+            answer = self.granter.request(piece, holder.owner, token, now)
             new |= isinstance(answer, Granted) and answer.new
             if isinstance(answer, Granted) and answer.new:
                 self.play.records.append((now, "granted", holder.owner, piece, answer.token))
@@ -58,7 +58,7 @@
 
     def acted(self, holder, stream, piece, token):
         if self.up and stream == holder.stream:
-            self.granter.seen(token)
+            self.granter.observe_token(token)
             holder.judged(SERVICE, self.fence, piece, token)
 
 
@@ -70,7 +70,7 @@
         self.owner = f"{manager.name}.{self.life}"
         clock = play.day.clocks.get(manager.name)
         self.rate, self.born = clock.rate if clock is not None else 1.0, self.world.now
-        self.holder, self.turns = Holder(self.owner, play.seed * 1000 + manager.me, self.now()), duties.Turns()
+        self.holder, self.turns = Holder(self.owner, play.seed * 1000 + manager.me, self.now()), duties.Schedule()
         self.stream, self.linked, self.dial_at, self.mine, self.mine_of = 0, False, 0, {}, None
         self.world.later(1 + manager.me * TICK // max(1, play.day.site.managers), self.tick)
 
@@ -93,13 +93,13 @@
             if self.reaches():
                 self.linked = True
                 self.stream += 1
-                self.holder.source(True, len(self.manager.taker.swim.alive()), self.now())
+                self.holder.set_connected(True, len(self.manager.taker.swim.alive()), self.now())
 
     def broken(self):
         """Its stream ended, or is taken for ended."""
         if self.here():
             self.linked, self.dial_at = False, self.world.now + DIAL // 5
-            self.holder.source(False, 1, self.now())
+            self.holder.set_connected(False, 1, self.now())
 
     # Holding
 
@@ -108,13 +108,13 @@
             return
         self.world.later(TICK, self.tick)
         now = self.now()
-        if self.holder.deaf(now):
+        if self.holder.granter_silent(now):
             self.broken()
         self.link()
         mine = self.shares()
-        self.holder.wants(mine, now)
+        self.holder.set_wanted(mine, now)
         self.turns.forget(mine)
-        given, asked = self.holder.give(now, self.turns.under_way), self.holder.due(now)
+        given, asked = self.holder.releases(now, self.turns.under_way), self.holder.due(now)
         if self.linked and (given or asked):
             self.play.send(self.manager.name, SERVICE, NET, self.play.grants.hear, self, self.stream, asked, given)
         for piece, task in mine.items():
@@ -130,7 +130,7 @@
         if view != self.mine_of:
             pieces = duties.pieces_of(self.tasks, self.manager.boxes())
             alive = () if self.manager.leaving else self.manager.taker.swim.alive()
-            shared = share(list(pieces), eligible([Fit(name) for name in alive]))
+            shared = share(list(pieces), eligible([Candidate(name) for name in alive]))
             self.mine = {piece: pieces[piece] for piece, name in shared.items() if name == self.manager.name}
             self.mine_of = view
         return self.mine
@@ -158,7 +158,7 @@
         """The lease was checked a moment ago; a manager that was stopped meanwhile acts when it goes on."""
         if not self.here() or self.manager.stands(self.act, piece, task, token):
             return
-        self.turns.over(piece, self.now())
+        self.turns.done(piece, self.now())
         if not task.pieces:
             self.play.send(self.manager.name, SERVICE, NET, self.play.grants.acted, self, self.stream, piece, token)
             return
@@ -171,7 +171,7 @@
 
     def judged(self, place, fence, piece, token):
         """At what is acted on: it takes the act, or tells the token that it knows."""
-        good = fence.takes(piece, token, self.owner)
+        good = fence.accepts(piece, token, self.owner)
         self.play.records.append((self.world.now, "act" if good else "refused", self.owner, piece, token, place))
         if not good:
             self.play.send(place, self.manager.name, NET, self.refused, piece, fence.token(piece))
--- a/flaxscale/model/leases.py
+++ b/flaxscale/model/leases.py
@@ -9,7 +9,7 @@
 
 from ..leases.granter import Granted, Granter
 from ..leases.holder import Holder
-from ..leases.shares import Fit, eligible, share
+from ..leases.shares import Candidate, eligible, share
 
 TICK = 2_000  # a manager looks at its leases so often, as front/duties.py does
 KNOWN = 30_000  # a death, or a restart, is known to all others after this
@@ -40,7 +40,7 @@
         self.holds, self.free_since, self.gaps = {}, {}, {}
         self.shared, self.shared_for, self.mine, self.worst = {}, None, {}, 0
         for k, name in enumerate(self.names):
-            self.holders[name].source(True, managers if spread else 1, 0)
+            self.holders[name].set_connected(True, managers if spread else 1, 0)
             self.at(k * TICK // managers, self.tick, name)
 
     def at(self, time, act, *args):
@@ -51,7 +51,7 @@
         alive = tuple(n for n in self.names if self.dead_at.get(n, self.now) + KNOWN > self.now)
         if alive != self.shared_for:
             self.shared_for = alive
-            self.shared = share(self.pieces, eligible([Fit(n) for n in alive]))
+            self.shared = share(self.pieces, eligible([Candidate(n) for n in alive]))
             self.mine = {}
             for piece, name in self.shared.items():
                 self.mine.setdefault(name, {})[piece] = self.task
@@ -61,8 +61,8 @@
         if name in self.dead_at:
             return
         holder = self.holders[name]
-        holder.wants(self.shares().get(name, {}), self.now)
-        if given := holder.give(self.now):
+        holder.set_wanted(self.shares().get(name, {}), self.now)
+        if given := holder.releases(self.now):
             self.send(self.to_granter, name, (), given)
         if asked := holder.due(self.now):
             self.send(self.to_granter, name, asked, ())
@@ -78,9 +78,9 @@
             return
         owner, told, new = f"{name}.1", [], False
         for piece, token in given:
-            new |= self.granter.give(piece, owner, token, self.now)
+            new |= self.granter.release(piece, owner, token, self.now)
         for piece, token, number in asked:
-            answer = self.granter.ask(piece, owner, token, self.now)
+            answer = self.granter.request(piece, owner, token, self.now)
             new |= isinstance(answer, Granted) and answer.new
             told.append((answer, number))
         self.syncs[self.now // 10_000] += new
@@ -123,17 +123,17 @@
     def leave(self, name):
         """A planned stop: all is given back, and its leaving is known at once."""
         self.free_since = {p: self.now for p, n in self.holds.items() if n == name}
-        self.send(self.to_granter, name, (), self.holders[name].leave(self.now))
+        self.send(self.to_granter, name, (), self.holders[name].release_all(self.now))
         self.dead_at[name] = self.now - KNOWN
 
     def outage(self, span_s):
         self.up = False
         for name in self.names:
-            self.holders[name].source(False, 1, self.now)
+            self.holders[name].set_connected(False, 1, self.now)
         self.run(span_s)
         self.granter, self.up = Granter(self.granter.tasks, self.now, self.granter.count), True
         for name in self.names:
-            self.holders[name].source(True, len(self.names) if self.spread else 1, self.now)
+            self.holders[name].set_connected(True, len(self.names) if self.spread else 1, self.now)
 
 
 def cost(managers, task, pieces, seed=1, planned=False, loss=0.0, spread=True, outage_s=30.0):
--- a/flaxscale/model/loss.py
+++ b/flaxscale/model/loss.py
@@ -1,17 +1,18 @@
 """Managers that die with much in hand, in virtual time: who holds all of it when, by what messages.
 
-The machines are the program's own: members.swim tells who is dead when, to whom; adopt.plan, adopt.Course and
-ration.Ration say who claims what, how fast and when again; adopt.Fence grants it at the box. Around them stand ways
-that take drawn times and lose a part, boxes that answer one asking after another, and the leases' ends.
+The machines are the program's own: members.swim tells who is dead when, to whom; takeover.plan_claims,
+takeover.ClaimRetry and rate_limit.ClaimRateLimit say who claims what, how fast and when again; takeover.Fence grants it
+at the box. Around them stand ways that take drawn times and lose a part, boxes that answer one asking after another,
+and the leases' ends.
 """
 
 import heapq
 import random
 from typing import NamedTuple
 
-from ..members.adopt import Course, Fence, Session, plan
-from ..members.ration import Ration
+from ..members.rate_limit import ClaimRateLimit
 from ..members.swim import PERIOD
+from ..members.takeover import ClaimRetry, Fence, Session, plan_claims
 from .members import SwimWorld
 
 ROW_TIME = 0.02  # of a box's loop for each session that it tells or grants, tenths of a millisecond
@@ -66,10 +67,10 @@
         }
         self.known, until = known, self.began + round(span_s * 10_000)
         for name in self.living:
-            self.rations[name] = Ration(self.began)
+            self.rations[name] = ClaimRateLimit(self.began)
         for (name, dead), at in sorted(known.items(), key=lambda item: (item[1], item[0])):
             for box in range(len(self.fences)):
-                self.at(at, self.ask, name, dead, box, Course())
+                self.at(at, self.ask, name, dead, box, ClaimRetry())
         while self.todo and self.todo[0][0] <= until:
             time, _, act, args = heapq.heappop(self.todo)
             act(time, *args)
@@ -114,25 +115,25 @@
         fence = self.fences[box]
         if time - self.began > self.lease:
             for key in [key for key in self.of[box] if fence.owner(key) in self.dead]:
-                fence.over(key)
+                fence.remove(key)
         rows = [
             Session(key, dead, fence.epoch(key), called, True)
             for key, called in self.of[box].items()
             if fence.owner(key) == dead
         ]
         back = time + self.draw.randint(*self.way)
-        made = plan(rows, dead, name, self.alive(name, back), course.rank)
+        made = plan_claims(rows, dead, name, self.alive(name, back), course.rank)
         self.at(back, self.claim, name, box, dead, course, list(made.claims), made.next)
 
     def claim(self, time, name, box, dead, course, wanted, following):
         if not wanted:
-            pause = course.came(following)
+            pause = course.answered(following)
             if pause is not None:
                 self.at(time + pause, self.ask, name, dead, box, course)
             return
         may = self.rations[name].take(time, len(wanted), len(wanted))
         if not may:
-            self.at(time + self.rations[name].wait(), self.claim, name, box, dead, course, wanted, following)
+            self.at(time + self.rations[name].wait_time(), self.claim, name, box, dead, course, wanted, following)
             return
         self.send(time, box, may, self.granted, name, dead, course, wanted[:may], wanted[may:], following)
 
--- a/flaxscale/model/members.py
+++ b/flaxscale/model/members.py
@@ -64,11 +64,11 @@
             self.at(self.stalled[name] + 1, self.arrive, name, sender, message)
             return
         swim = self.swims[name]
-        self.send(name, swim.heard(message, sender, self.now))
+        self.send(name, swim.receive(message, sender, self.now))
         self.hear(name)
 
     def hear(self, name):
-        for news in self.swims[name].taken_changes():
+        for news in self.swims[name].take_changes():
             self.changes.append((name, news))
             if news.state is State.DEAD:
                 self.heard_of.setdefault((name, news.name), self.now)
--- a/flaxscale/model/play.py
+++ b/flaxscale/model/play.py
@@ -450,7 +450,7 @@
         if holder.box.trouble.hang:
             self.world.later(SECOND, self.ended_at_box, server, key, manager, life, epoch)
             return
-        if not holder.box.fence.obeys(key, epoch, manager.name):  # it is another's by now
+        if not holder.box.fence.accepts(key, epoch, manager.name):  # it is another's by now
             if key in self.by_key and self.by_key[key].gone:
                 self.without_media(holder, key)
             self.send(f"b{server}", manager.name, NET, manager.moved, life, key[2])
@@ -515,7 +515,7 @@
         holder = self.fleet.boxes[server]
         if (
             not holder.dead
-            and holder.box.fence.obeys(key, epoch, manager.name)
+            and holder.box.fence.accepts(key, epoch, manager.name)
             and holder.box.set_rung(key, rung) is not None
         ):
             holder.changed()
--- a/flaxscale/model/takeover.py
+++ b/flaxscale/model/takeover.py
@@ -1,7 +1,7 @@
 """Managers that talk to each other in a day of the model: who is dead to whom, and who takes over what plays.
 
-The machines are the program's own: members.swim, members.adopt (plan, Course, and the Fence in the boxes),
-members.seats and members.ration, used as front/members.py uses them. Around them stand ways in virtual time: a
+The machines are the program's own: members.swim, members.takeover (plan, ClaimRetry, and the Fence in the boxes),
+members.seats and members.rate_limit, used as front/members.py uses them. Around them stand ways in virtual time: a
 datagram is gone where its way does not pass, or lost with that way's chance; what goes to and from boxes waits until
 it passes. What a client asked for and was not answered is not joined here (recovery.tries): its next try is a new one.
 
@@ -11,10 +11,10 @@
 
 from typing import NamedTuple
 
-from ..members.adopt import PAUSE, TRIES, Course, Session, plan
-from ..members.ration import Ration, full
+from ..members.rate_limit import ClaimRateLimit, at_capacity
 from ..members.seats import SeatBook
 from ..members.swim import State, Swim
+from ..members.takeover import MAX_FAILURES, RETRY_DELAY, ClaimRetry, Session, plan_claims
 
 NET = 5  # one way, as the play's own messages take
 ASK = 10_000  # an asking without an answer is given up
@@ -37,7 +37,7 @@
     """One manager asks one box for the sessions of another, or of an earlier life of its own."""
 
     def __init__(self, box, of):
-        self.box, self.of, self.course, self.number = box, of, Course(), 0
+        self.box, self.of, self.course, self.number = box, of, ClaimRetry(), 0
         self.wanted, self.ends, self.rows, self.boot, self.rank_left, self.later = [], set(), {}, 0, None, False
         self.out, self.tries = {}, 0  # claims that are out: {key: epoch}
 
@@ -58,7 +58,7 @@
         self.swim = Swim(self.name, self.name, f"{self.name}.{self.life}", play.seed * 1000 + manager.me, now)
         self.swim.join(others)
         self.book = SeatBook(now, round(play.day.site.fleet.lease_ms * 10))
-        self.ration, self.jobs, self.told, self.alarm = Ration(now), {}, None, 0
+        self.ration, self.jobs, self.told, self.alarm = ClaimRateLimit(now), {}, None, 0
         self.view = 0  # of members and boxes: another number where it changed
         self.world.at(now, self.ring, 0)
 
@@ -83,11 +83,11 @@
             self.play.datagram(self.name, address, NET, self.play.member_hears, address, message, self.name)
 
     def heard(self, message, sender):
-        self.send(self.swim.heard(message, sender, self.world.now))
+        self.send(self.swim.receive(message, sender, self.world.now))
         self.hear_changes()
 
     def hear_changes(self):
-        for news in self.swim.taken_changes():
+        for news in self.swim.take_changes():
             self.view += 1
             self.play.records.append(
                 (self.world.now, "member", self.name, news.name, news.state.name.lower(), news.boot)
@@ -162,8 +162,8 @@
         job.number += 1
         if job.out:
             job.tries += 1
-            if job.tries < TRIES and self.manager.lists(job.box):
-                self.world.later(PAUSE, self.claim, job, job.number)
+            if job.tries < MAX_FAILURES and self.manager.lists(job.box):
+                self.world.later(RETRY_DELAY, self.claim, job, job.number)
                 return
             for key, epoch in job.out.items():
                 self.manager.end_there(job.box, key, epoch)
@@ -201,7 +201,7 @@
         job.number += 1
         job.rows = {r.key: r for r in rows if not self.manager.holds(r.key)}
         job.boot, job.later, own = boot, False, job.of == self.name
-        made = plan(
+        made = plan_claims(
             [Session(r.key, r.owner, r.epoch, name_of(r.key), r.media or r.age < YOUNG) for r in job.rows.values()],
             job.of,
             self.name,
@@ -221,13 +221,13 @@
         while job.wanted and self.may_take(job.of):
             most = self.play.day.site.front.held_most
             room = len(job.wanted) if own else most - len(self.manager.viewings)
-            if not own and full(len(self.manager.viewings), most, False):
+            if not own and at_capacity(len(self.manager.viewings), most, False):
                 break  # the next in the order takes them
             may = self.ration.take(self.world.now, len(job.wanted), room)
             if not may:
                 if room <= 0:
                     break
-                self.world.later(self.ration.wait(), self.wait_over, job, job.number)
+                self.world.later(self.ration.wait_time(), self.wait_over, job, job.number)
                 return
             some, job.wanted = job.wanted[:may], job.wanted[may:]
             if self.to_claim(job, some, own):
@@ -235,9 +235,9 @@
                 self.claim(job, job.number)
                 return
         if own and not job.later and not job.wanted:
-            self.book.said(job.box)
+            self.book.box_reported(job.box)
         self.reserve()
-        self.again(job, job.course.came(job.course.rank if job.later else job.rank_left))
+        self.again(job, job.course.answered(job.course.rank if job.later else job.rank_left))
 
     def wait_over(self, job, number):
         if self.here() and job.number == number and not self.manager.stands(self.wait_over, job, number):
--- a/flaxscale/site/shapes.py
+++ b/flaxscale/site/shapes.py
@@ -232,7 +232,7 @@
     for name, row in site.duties.items():
         want(name in DUTIES, f"duties.{name}", f"one of {', '.join(DUTIES)}")
         want(min(row.period_s, row.span_s, row.step_s) >= 0, f"duties.{name}", "figures of 0 or more")
-        fault = name in DUTIES and task_with(name, row.period_s, row.span_s, row.step_s, fleet.drift).fault()
+        fault = name in DUTIES and task_with(name, row.period_s, row.span_s, row.step_s, fleet.drift).error()
         want(not fault, f"duties.{name}.span_s", f"another figure ({fault})")
     announced = []
     for n, row in enumerate(site.peaks):
--- a/flaxscale/standins/box.py
+++ b/flaxscale/standins/box.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from ..chance import drawn
-from ..members.adopt import Fence
+from ..members.takeover import Fence
 
 KEEP_ENDED = 600_000  # a name that was ended before it came is refused this long
 
@@ -271,7 +271,7 @@
     def end(self, key, now):
         """Ends a session or a set-up by its name; one that has not come yet will be refused when it does."""
         self.ended[key] = now
-        self.fence.over(key)
+        self.fence.remove(key)
         return self.sessions.pop(key, None)
 
     def adopt(self, key, epoch, manager, life=""):
--- a/flaxscale/standins/boxserver.py
+++ b/flaxscale/standins/boxserver.py
@@ -21,8 +21,8 @@
 from ..serve.clock import now
 from ..serve.server import Server
 from ..signalling import endpoint, load, sdp
-from ..store.latest import Latest
-from ..versions.floor import At, FloorBook
+from ..store.latest import LatestRecord
+from ..versions.floor import FloorBook, VersionId
 
 BEAT_S = 0.1  # to the box list: that it runs, and what it asks of the rack's uplink
 UNDER_FLOOR = 412, "Under the floor", "what this manager goes by is too old"
@@ -67,8 +67,8 @@
         self.box, self.note_every, self.note_lag, self.lease, self.media_most = box, *site_row
         self.server = Server(self.handle, Limits(16384, 64, 2048, 65536), most=100_000)
         self.record, self.token = record or Recorder(), token
-        self.kept = Latest(files, 50) if files is not None else None
-        self.kept_leases = Latest(lease_files, 50) if lease_files is not None else None
+        self.kept = LatestRecord(files, 50) if files is not None else None
+        self.kept_leases = LatestRecord(lease_files, 50) if lease_files is not None else None
         self.leases = Fence(self.kept_leases and self.kept_leases.kept)
         self.bars = Bars(box.boot)
         self.floors, self.acting = FloorBook(self.kept and self.kept.kept), {}
@@ -244,7 +244,7 @@
         """It holds what the catalogue says, from the moment that it hears it."""
         follower = self.catalogue.follower
         titles = titles if titles is not None else follower.titles
-        if self.floors.source(str(follower.epoch), follower.floor):
+        if self.floors.set_from_source(str(follower.epoch), follower.floor):
             self.keep_floor()
         mine, told = {}, {}
         for name, t in titles.items():
@@ -493,7 +493,7 @@
         fenced = [
             key
             for key in (*orders.end, *orders.rungs)
-            if not self.box.fence.obeys(key, orders.epochs.get(key, 0), name)
+            if not self.box.fence.accepts(key, orders.epochs.get(key, 0), name)
         ]
         ends = [key for key in orders.end if key not in fenced]
         # An end does no harm under any version, and what plays must end; a rung is refused under the floor.
@@ -581,7 +581,7 @@
         if not token.isdecimal() or not owner:
             raise endpoint.Refusal(400, "a lease is told as piece;token;owner")
         row = {"piece": piece[:100], "owner": owner[:100], "token": int(token)}
-        if not self.box.trouble.unfenced and not self.leases.takes(piece[:100], int(token), owner[:100]):
+        if not self.box.trouble.unfenced and not self.leases.accepts(piece[:100], int(token), owner[:100]):
             known = self.leases.token(piece[:100])
             self.record.put("lease", did="refused", **row)
             exchange.refuse(409, "An outdated lease", "", [("Flaxscale-Outdated", str(known))])
@@ -617,17 +617,17 @@
         """The life and the stamp under which a manager acts, for the records; a whole stamp gets a row of its own."""
         life, field = self.life_of(exchange), exchange.request.headers.get("flaxscale-stamp")
         try:
-            number, whole = stamp.read(field) if field is not None else (None, None)
+            number, whole = stamp.parse(field) if field is not None else (None, None)
         except ValueError as bad:
             self.record.put("bad stamp", manager=manager, life=life, detail=str(bad))
             return {"life": life, "stamp": None}
         if whole is not None:
             self.record.put("stamp", manager=manager, life=life, number=number, stamp=msgspec.structs.asdict(whole))
-            at = At(*whole.catalogue) if whole.catalogue is not None else None
+            at = VersionId(*whole.catalogue) if whole.catalogue is not None else None
             self.acting[manager, life, number] = at
             if len(self.acting) > STAMPS:
                 del self.acting[next(iter(self.acting))]
-            if at is not None and self.floors.told(at.epoch, whole.floor):
+            if at is not None and self.floors.raise_from_peer(at.epoch, whole.floor):
                 self.keep_floor()
         return {"life": life, "stamp": number}
 
--- a/flaxscale/store/troubled.py
+++ b/flaxscale/store/fault_injection.py
@@ -6,12 +6,12 @@
 from .files import Files
 
 
-class TroubledFiles(Files):
+class FaultInjectingFiles(Files):
     """`fault`: a path; what stands there now is `full`, or `slow:MS` for each write and sync, or nothing at all."""
 
-    def __init__(self, fault, folder, lasting=True):
+    def __init__(self, fault, folder, durable=True):
         self.fault = fault
-        super().__init__(folder, lasting)
+        super().__init__(folder, durable)
 
     def suffer(self):
         try:
--- a/flaxscale/store/files.py
+++ b/flaxscale/store/files.py
@@ -7,9 +7,9 @@
 class Files:
     """One folder on disk. Names are plain; offsets and sizes are bytes. Errors are OSError."""
 
-    def __init__(self, folder, lasting=True):
-        """lasting: False leaves it to the system when bytes reach the disk: for copies that can be had again."""
-        self.lasting = lasting
+    def __init__(self, folder, durable=True):
+        """durable: False leaves it to the system when bytes reach the disk: for copies that can be had again."""
+        self.durable = durable
         self.folder = pathlib.Path(folder)
         self.folder.mkdir(parents=True, exist_ok=True)
         self.open = {}
@@ -28,7 +28,7 @@
             view = view[os.write(self.open[name], view) :]
 
     def sync(self, name):
-        if self.lasting:
+        if self.durable:
             os.fsync(self.open[name])
 
     def close(self, name):
@@ -50,7 +50,7 @@
         (self.folder / name).unlink()
 
     def sync_folder(self):
-        if not self.lasting:
+        if not self.durable:
             return
         fd = os.open(self.folder, os.O_RDONLY)
         try:
--- a/flaxscale/store/latest.py
+++ b/flaxscale/store/latest.py
@@ -3,7 +3,7 @@
 from .log import Log
 
 
-class Latest:
+class LatestRecord:
     def __init__(self, files, snapshot_every):
         """kept: the newest content, or None where nothing was kept."""
         self.log, self.every = Log(files), snapshot_every
--- a/flaxscale/versions/bringup.py
+++ b/flaxscale/versions/catchup.py
@@ -10,14 +10,14 @@
 
 from ..chance import drawn
 
-NUDGE = 10_000  # behind for so long: the source is asked again
-NUDGE_AGAIN = 50_000
-ASK = 20_000  # and for so long, another manager
-SPREAD = 500  # of waiting, for each one that is behind
+NUDGE_AFTER = 10_000  # behind for so long: the source is asked again
+NUDGE_INTERVAL = 50_000
+ASK_PEER_AFTER = 20_000  # and for so long, another manager
+SPREAD_PER_MEMBER = 500  # of waiting, for each one that is behind
 SPREAD_MOST = 100_000
 AGAIN, AGAIN_MOST = 5_000, 80_000
-AT_ONCE = 2  # transfers that one manager gives at once
-BYTES, BURST = 8_000_000, 16_000_000  # a second; and at once
+MAX_TRANSFERS = 2  # transfers that one manager gives at once
+BYTES_PER_SECOND, BURST_BYTES = 8_000_000, 16_000_000  # a second; and at once
 
 
 class Step(NamedTuple):
@@ -30,8 +30,8 @@
 NOTHING = Step(False, None)
 
 
-class BringUp:
-    """One manager's. look() at each tick; then asked() and came() with what became of it."""
+class CatchUp:
+    """One manager's. next_step() at each tick; then asked() and finished() with what became of it."""
 
     def __init__(self, name, seed):
         self.name, self.seed, self.draws = name, seed, 0
@@ -42,26 +42,26 @@
         self.draws += 1
         return drawn(b"%d:up:%s:%d" % (self.seed, self.name.encode(), self.draws))
 
-    def look(self, now, since, behind, givers):
+    def next_step(self, now, since, behind, givers):
         """since: when we were first behind, or None. behind: how many are. givers: names that hold the newest."""
         if since is None:
             self.nudged_at = self.ask_at = None
             self.again = AGAIN
             self.refused_by.clear()
             return NOTHING
-        nudge = now - since >= NUDGE and (self.nudged_at is None or now - self.nudged_at >= NUDGE_AGAIN)
+        nudge = now - since >= NUDGE_AFTER and (self.nudged_at is None or now - self.nudged_at >= NUDGE_INTERVAL)
         if nudge:
             self.nudged_at = now
         if self.ask_at is None:
-            self.ask_at = since + ASK + round(self.chance() * min(SPREAD_MOST, SPREAD * behind))
+            self.ask_at = since + ASK_PEER_AFTER + round(self.chance() * min(SPREAD_MOST, SPREAD_PER_MEMBER * behind))
         peer, able = None, sorted(set(givers) - self.refused_by)
         if self.out is None and now >= self.ask_at and able:
             self.out = peer = able[int(self.chance() * len(able))]
         return Step(nudge, peer)
 
-    def came(self, now, good, lied=False):
-        """What became of asking a peer. lied: what it gave was not what it said, or did not read."""
-        if lied and self.out is not None:
+    def finished(self, now, good, bad_copy=False):
+        """What became of asking a peer. bad_copy: what it gave was not what it said, or did not read."""
+        if bad_copy and self.out is not None:
             self.refused_by.add(self.out)
         self.out = None
         if good:
@@ -71,18 +71,18 @@
         self.again = min(AGAIN_MOST, self.again * 2)
 
 
-class Giver:
+class TransferLimit:
     """What a manager gives others of its own copy."""
 
     def __init__(self, now):
-        self.out, self.left, self.at = 0, BURST, now
+        self.out, self.left, self.at = 0, BURST_BYTES, now
         self.given = self.refused = 0
 
-    def may(self, now):
+    def try_begin(self, now):
         """Whether one more transfer may begin; then done() is owed with its bytes."""
-        self.left = min(BURST, self.left + (now - self.at) * BYTES / 10_000)
+        self.left = min(BURST_BYTES, self.left + (now - self.at) * BYTES_PER_SECOND / 10_000)
         self.at = now
-        if self.out >= AT_ONCE or self.left <= 0:
+        if self.out >= MAX_TRANSFERS or self.left <= 0:
             self.refused += 1
             return False
         self.out += 1
--- a/flaxscale/versions/floor.py
+++ b/flaxscale/versions/floor.py
@@ -18,7 +18,7 @@
 EARLIER = 16  # epochs left behind that are remembered
 
 
-class At(NamedTuple):
+class VersionId(NamedTuple):
     """A version of a source: its epoch and its number there."""
 
     epoch: str
@@ -43,7 +43,7 @@
     def dump(self):
         return msgspec.msgpack.encode(Kept(SHAPE, self.epoch, self.floor, self.earlier))
 
-    def source(self, epoch, floor):
+    def set_from_source(self, epoch, floor):
         """The holder's own source says so: in another epoch than before, the earlier floor is no longer one."""
         if epoch == self.epoch:
             return self.raised(floor)
@@ -52,12 +52,12 @@
         self.epoch, self.floor = epoch, floor
         return True
 
-    def told(self, epoch, floor):
+    def raise_from_peer(self, epoch, floor):
         """Somebody who acts says so. It counts within the epoch that we are in, and where we are in none yet."""
         if not floor or epoch in self.earlier:
             return False
         if not self.epoch:
-            return self.source(epoch, floor)
+            return self.set_from_source(epoch, floor)
         return epoch == self.epoch and self.raised(floor)
 
     def raised(self, floor):
@@ -67,7 +67,7 @@
         return True
 
     def refuses(self, acting):
-        """Whether what is done under a version is under the floor. acting: At; None: nobody knows under which."""
+        """Whether what is done under a version is under the floor. acting: VersionId; None: not known."""
         if not self.floor:
             return False
         if acting is None:
@@ -77,7 +77,7 @@
         return acting.epoch in self.earlier
 
 
-class Watching(NamedTuple):
+class WatcherVersion(NamedTuple):
     """A manager as the source of versions knows it. heard_ago: tenths of a millisecond; 0 while it is connected."""
 
     name: str
@@ -85,7 +85,7 @@
     heard_ago: int
 
 
-def shut_out(floor, watching):
+def below_floor(floor, watching):
     """Names of those that a floor would shut out until they are up."""
     return [w.name for w in watching if w.acked is None or w.acked < floor]
 
@@ -94,7 +94,7 @@
     """Why a floor may not be raised so, or "". share: of the living, that it may shut out at most."""
     if not 0 < floor <= settled:
         return f"there is no version {floor} yet: 1 to {settled} expected"
-    under = shut_out(floor, watching)
+    under = below_floor(floor, watching)
     if len(under) > share * len(watching):
         return (
             f"it would shut out {len(under)} of {len(watching)} managers ({', '.join(under[:8])}); "
@@ -103,13 +103,13 @@
     return ""
 
 
-def by_rule(settled_at, now, behind, watching, share):
+def automatic_floor(settled_at, now, behind, watching, share):
     """The floor that the stated rule raises now, or None: the newest version that has been settled for `behind`, where
     some manager has not taken it and few enough have not.
 
     settled_at: [(version, time)], rising; times and spans in tenths of a millisecond.
     """
     old = [version for version, at in settled_at if now - at >= behind]
-    if not old or not shut_out(old[-1], watching):
+    if not old or not below_floor(old[-1], watching):
         return None
     return None if objection(old[-1], old[-1], watching, share) else old[-1]
--- a/flaxscale/versions/board.py
+++ b/flaxscale/versions/table.py
@@ -19,7 +19,7 @@
 from collections import Counter
 from typing import NamedTuple
 
-from .floor import At
+from .floor import VersionId
 
 ROWS = 20  # others' rows in one message, some 30 bytes each
 SELF = 10_000  # behind for so long, a member says so of itself
@@ -43,33 +43,33 @@
     up: bool  # it hears the catalogue's source now
     refused: int  # a version that it refused and has not got over; 0: none
     behind: bool = False  # it knows of a newer version than its own for SELF
-    full: bool = False  # it takes nothing over, and should not be sent more: members.ration
+    full: bool = False  # it takes nothing over, and should not be sent more: members.rate_limit
     slow: bool = False  # its loop stood still lately: admission.still
 
-    def at(self):
-        return At(self.epoch, self.version)
+    def version_id(self):
+        return VersionId(self.epoch, self.version)
 
 
 class Straggler(NamedTuple):
     name: str
     why: str  # behind, refuses, unheard, settings
-    at: At | None
-    newest: At | None
+    at: VersionId | None
+    newest: VersionId | None
     since: int  # by our clock
 
 
-class Board:
+class VersionTable:
     """One member's."""
 
     def __init__(self, name, boot):
         self.me = Row(name, boot, 0, "", 0, 0, 0, 0, "", False, 0)
-        self.rows, self.told, self.heard_at, self.direct_at = {}, {}, {}, {}  # of others
+        self.rows, self.told, self.received_at, self.direct_at = {}, {}, {}, {}  # of others
         self.other_since, self.refused_since, self.behind_since = {}, {}, None  # the last: our own
         self.epoch, self.epoch_since, self.versions, self.times = "", 0, [], []  # when each was first known
 
     # What is told
 
-    def mine(self, **fields):
+    def update_own(self, **fields):
         """What we go by now; True where it is something else than before."""
         made = self.me._replace(**fields)
         if made == self.me:
@@ -77,7 +77,7 @@
         self.me = made._replace(count=self.me.count + 1)
         return True
 
-    def rides(self, members):
+    def rows_to_send(self, members):
         """The rows of one message. members: how many there are."""
         most = TELLINGS * max(1, math.ceil(math.log2(members + 1)))
         out = [self.me]
@@ -90,20 +90,20 @@
                 del self.told[name]
         return tuple(out)
 
-    def hear(self, row, sender, boots, now):
+    def receive(self, row, sender, boots, now):
         """Takes a row. boots(name): which life of a member is known to be the present one, or None."""
         if row.name == self.me.name:
             return
         held = self.rows.get(row.name)
         if row.name == sender:
-            self.heard_at[row.name] = self.direct_at[row.name] = now
+            self.received_at[row.name] = self.direct_at[row.name] = now
         if held is not None and held.boot == row.boot:
             if row.count <= held.count:
                 return
         elif row.name != sender and boots(row.name) != row.boot:
             return  # of an earlier life, told on
         self.rows[row.name], self.told[row.name] = row, 0
-        self.heard_at[row.name] = now
+        self.received_at[row.name] = now
 
     def forget(self, name):
         """It is gone: its row stays to be shown, and is told no more."""
@@ -111,16 +111,16 @@
 
     # What it amounts to
 
-    def living(self, alive):
+    def live_rows(self, alive):
         """Rows of those that live, ours too."""
         return [self.me, *(row for name, row in sorted(self.rows.items()) if name in alive and name != self.me.name)]
 
     def newest(self, alive):
-        """At, of the newest version that one goes by: of the epoch that most of those hear who hear the source now.
+        """VersionId of the newest version that one goes by, of the epoch that most hear of those hearing the source.
 
         Where nobody hears it, of our own epoch; None where nobody has any.
         """
-        rows = [row for row in self.living(alive) if row.epoch]
+        rows = [row for row in self.live_rows(alive) if row.epoch]
         hearing = Counter(row.epoch for row in rows if row.up)
         if hearing:
             most = max(hearing.values())
@@ -133,20 +133,20 @@
             epoch = Counter(row.epoch for row in rows).most_common(1)[0][0]
         else:
             return None
-        return At(epoch, max(row.version for row in rows if row.epoch == epoch))
+        return VersionId(epoch, max(row.version for row in rows if row.epoch == epoch))
 
     def floor(self):
         """The highest floor that anybody ever told of our own epoch, gone since or not."""
         return max(row.floor for row in (self.me, *self.rows.values()) if row.epoch == self.me.epoch)
 
-    def look(self, alive, now):
+    def refresh(self, alive, now):
         """Notes what is known since when, by our clock. To be called some times a second."""
         newest = self.newest(alive)
         if newest is not None:
             self.learn(newest, now)
-        since = self.behind_since = self.superseded(self.me.at()) if newest is not None else None
-        self.mine(behind=since is not None and now - since >= SELF)
-        living = self.living(alive)
+        since = self.behind_since = self.superseded(self.me.version_id()) if newest is not None else None
+        self.update_own(behind=since is not None and now - since >= SELF)
+        living = self.live_rows(alive)
         marks = Counter(row.settings for row in living if row.settings)
         usual = marks.most_common(1)[0] if marks else ("", 0)
         for row in living:
@@ -175,7 +175,7 @@
 
     def count_behind(self, alive):
         """How many say that they are behind, ourselves among them where we are."""
-        return sum(row.behind for row in self.living(alive))
+        return sum(row.behind for row in self.live_rows(alive))
 
     @staticmethod
     def note(since, name, true, now):
@@ -189,27 +189,29 @@
 
         suspects: names that the members' protocol does not hear at present.
         """
-        newest, out = self.look(alive, now), []
-        for row in self.living(alive):
+        newest, out = self.refresh(alive, now), []
+        for row in self.live_rows(alive):
             if (at := self.refused_since.get(row.name)) is not None and now - at >= behind:
-                out.append(Straggler(row.name, "refuses", row.at(), newest, at))
+                out.append(Straggler(row.name, "refuses", row.version_id(), newest, at))
             elif (
                 newest is not None
-                and (at := self.superseded(row.at())) is not None
+                and (at := self.superseded(row.version_id())) is not None
                 and now - at >= behind
                 and (row.behind or row.name == self.me.name or self.direct_at.get(row.name, 0) - at >= behind)
             ):
-                out.append(Straggler(row.name, "behind", row.at(), newest, at))
+                out.append(Straggler(row.name, "behind", row.version_id(), newest, at))
             elif (at := self.other_since.get(row.name)) is not None and now - at >= behind:
-                out.append(Straggler(row.name, "settings", row.at(), newest, at))
+                out.append(Straggler(row.name, "settings", row.version_id(), newest, at))
         named = {s.name for s in out}
         for name in sorted(set(alive) | set(suspects)):
-            heard = self.heard_at.get(name)
+            heard = self.received_at.get(name)
             if name == self.me.name or name in named:
                 continue
             if name in suspects or heard is not None and now - heard >= SILENT:
                 row = self.rows.get(name)
                 out.append(
-                    Straggler(name, "unheard", row.at() if row else None, newest, heard if heard is not None else now)
+                    Straggler(
+                        name, "unheard", row.version_id() if row else None, newest, heard if heard is not None else now
+                    )
                 )
         return out
--- a/flaxscale/versions/handing.py
+++ b/flaxscale/versions/transfer.py
@@ -20,11 +20,11 @@
 
 
 class Refused(ValueError):
-    """Not taken on, by name of what is wrong. lied: its giver is not asked again."""
+    """Not taken on, by name of what is wrong. bad_copy: its giver is not asked again."""
 
-    def __init__(self, why, lied=True):
+    def __init__(self, why, bad_copy=True):
         super().__init__(why)
-        self.lied = lied
+        self.bad_copy = bad_copy
 
 
 class Change(msgspec.Struct, array_like=True):
@@ -47,7 +47,7 @@
     changes: list[Change]
 
 
-class Told(NamedTuple):
+class PeerDigests(NamedTuple):
     """What others than its giver say that a version amounts to."""
 
     digests: dict  # {name: digest}
@@ -63,7 +63,7 @@
     version: int
 
 
-def changes(giver, follower, recent, epoch, since):
+def encode_changes(giver, follower, recent, epoch, since):
     """The bytes for one who holds version `since` of an epoch, or None where only the whole can help.
 
     recent: the last Deltas that the giver took, rising.
@@ -95,7 +95,7 @@
     )
 
 
-def whole(giver, follower, slice):
+def encode_whole(giver, follower, slice):
     """The bytes of a whole copy, in parts of so many titles, as of the first of them."""
     f, titles = follower, list(follower.titles.values())
     head = msgspec.msgpack.encode([SHAPE, giver, f.epoch, f.version, f.floor, f.sum])
@@ -114,10 +114,10 @@
         raise Refused(f"no copy of a catalogue: {bad}") from None
 
 
-def taken(data, follower, wanted, told):
+def verify(data, follower, wanted, told):
     """(epoch, messages for the follower) of what a giver handed over. Refused otherwise.
 
-    wanted: the epoch that is to be brought up to. told: Told.
+    wanted: the epoch that is to be brought up to. told: PeerDigests.
     """
     if len(data) > MOST:
         raise Refused(f"{len(data)} bytes, {MOST} at most")
@@ -126,19 +126,19 @@
     except ValueError as bad:
         raise Refused(str(bad)) from None
     if found.epoch != wanted:
-        raise Refused(f"epoch {found.epoch[:20]!r} where {wanted!r} is in force", lied=False)
+        raise Refused(f"epoch {found.epoch[:20]!r} where {wanted!r} is in force", bad_copy=False)
     if found.epoch == follower.epoch and found.version <= (follower.version or 0):
-        raise Refused(f"version {found.version}, no newer than ours", lied=False)
+        raise Refused(f"version {found.version}, no newer than ours", bad_copy=False)
     if any(total != found.digest for total in told.digests.values()):
         raise Refused(f"version {found.version} with a digest that {', '.join(sorted(told.digests))} tell otherwise")
     if not told.digests and told.others:
-        raise Refused(f"version {found.version}, which nobody else tells yet", lied=False)
+        raise Refused(f"version {found.version}, which nobody else tells yet", bad_copy=False)
     if found.whole is not None:
         if digest.of(found.whole) != found.digest:
             raise Refused(f"titles of version {found.version} that do not amount to its digest")
         return found.epoch, [Whole(found.version, tuple(found.whole), True, True, found.floor)]
     if found.epoch != follower.epoch:
-        raise Refused("changes of an epoch that we don't hold", lied=False)
+        raise Refused("changes of an epoch that we don't hold", bad_copy=False)
     total, at, titles, out = follower.sum, follower.version, ChainMap({}, follower.titles), []
     for change in found.changes:
         if change.version != at + 1:
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -257,7 +257,7 @@
 
     def setUp(self):
         # The same protocol, two and a half times as fast.
-        fast = unittest.mock.patch.multiple(swim, PERIOD=2_000, ACK_WAIT=700, STOOD=10_000)
+        fast = unittest.mock.patch.multiple(swim, PERIOD=2_000, ACK_WAIT=700, STALL_LIMIT=10_000)
         fast.start()
         self.addCleanup(fast.stop)
 
--- a/tests/test_among.py
+++ b/tests/test_among.py
@@ -10,7 +10,7 @@
 
 from flaxscale.lab.shapes import TroubleRow, read_day
 from flaxscale.leases.granter import Granter
-from flaxscale.members.adopt import Fence
+from flaxscale.members.takeover import Fence
 from flaxscale.model.duties import Service
 from flaxscale.model.judge import Judge, played
 from flaxscale.model.play import Play
@@ -96,7 +96,7 @@
         def anew(self):
             start(self)
             self.granter = Granter(self.tasks, self.world.now)
-            self.granter.seen = lambda token: None  # holders tell it what they know: that alone would mend it
+            self.granter.observe_token = lambda token: None  # holders tell it what they know: that alone would mend it
 
         with unittest.mock.patch.object(Service, "start", anew):
             outcome, _ = played(day, 2, rows)
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flaxscale.audit.account import KEEP, MOST, Account, Began, Did, Dropped, Stamped, rows_of
-from flaxscale.audit.stamp import Stamp, Stamps, read
+from flaxscale.audit.account import KEEP, MOST, Account, Began, Did, Dropped, Stamped, rows_in
+from flaxscale.audit.stamp import Stamp, Stamps, parse
 from flaxscale.lab.accounts import write_account
 from flaxscale.rules.audit import judge
 from flaxscale.store.faulty import Crash, FaultyFiles
@@ -25,23 +25,23 @@
 class Stamped_(unittest.TestCase):
     def test_a_stamp_travels_whole_until_its_box_has_answered_then_by_number(self):
         stamps = Stamps()
-        self.assertEqual((1, True), stamps.take(ONE))
-        self.assertEqual((1, False), stamps.take(ONE))
-        whole = stamps.carried(5, "a")
-        self.assertEqual((1, ONE), read(whole))
-        self.assertEqual(whole, stamps.carried(5, "a"))  # nothing came back: whole again
-        stamps.heard(5, "a", whole)
-        self.assertEqual("1", stamps.carried(5, "a"))
-        self.assertEqual((1, ONE), read(stamps.carried(5, "b")))  # the box started anew
-        self.assertEqual((2, True), stamps.take(TWO))
-        stamps.heard(5, "a", whole)  # a late answer to the stamp before
-        self.assertEqual((2, TWO), read(stamps.carried(5, "a")))
+        self.assertEqual((1, True), stamps.update(ONE))
+        self.assertEqual((1, False), stamps.update(ONE))
+        whole = stamps.header_value(5, "a")
+        self.assertEqual((1, ONE), parse(whole))
+        self.assertEqual(whole, stamps.header_value(5, "a"))  # nothing came back: whole again
+        stamps.acknowledged(5, "a", whole)
+        self.assertEqual("1", stamps.header_value(5, "a"))
+        self.assertEqual((1, ONE), parse(stamps.header_value(5, "b")))  # the box started anew
+        self.assertEqual((2, True), stamps.update(TWO))
+        stamps.acknowledged(5, "a", whole)  # a late answer to the stamp before
+        self.assertEqual((2, TWO), parse(stamps.header_value(5, "a")))
 
     @given(st.text(max_size=60))
     @settings(max_examples=200, deadline=None)
     def test_what_is_no_stamp_is_refused(self, text):
         try:
-            number, whole = read(text)
+            number, whole = parse(text)
         except ValueError:
             return
         self.assertTrue(text.isascii() and text.partition(";")[0].isdigit() and (whole is None or ";" in text))
@@ -62,7 +62,7 @@
         whole = FaultyFiles()
         self.filled(whole, 6).commit()
         steps = whole.steps
-        rows = rows_of(Log(FaultyFiles(whole.written)).found)
+        rows = rows_in(Log(FaultyFiles(whole.written)).found)
         self.assertEqual((8, Began("m0", "x", 1)), (len(rows), rows[0]))
         for at in range(0, steps, 3):
             disk = FaultyFiles(crash_at=at)
@@ -71,7 +71,7 @@
             except Crash:
                 pass
             for left in disk.survivors():
-                found = rows_of(Log(FaultyFiles(left)).found)
+                found = rows_in(Log(FaultyFiles(left)).found)
                 self.assertEqual(rows[: len(found)], found)  # a beginning of it, nothing made up
 
     def test_it_is_bounded_says_what_it_dropped_and_never_raises(self):
@@ -90,7 +90,7 @@
         self.assertLessEqual(len(account.rows), KEEP)
         # What it still has begins with the life and the stamp under which it was done.
         self.assertEqual([Began, Stamped], [type(row) for row in account.rows[:2]])
-        self.assertEqual(account.rows, rows_of(Log(FaultyFiles(account.log.files.written)).found))
+        self.assertEqual(account.rows, rows_in(Log(FaultyFiles(account.log.files.written)).found))
 
     def test_a_full_disk_ends_it_and_a_flipped_byte_is_not_used(self):
         account = self.filled(FaultyFiles(room=200), 20)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -14,11 +14,11 @@
 from flaxscale.catalogued.leases import LeaseService
 from flaxscale.explore.leases import BUGS, Machine, put_back_soon, start
 from flaxscale.explore.search import explore, wander
-from flaxscale.leases.duties import ORPHAN_AFTER, RETRY, Sweep, Turns, pieces_of, task_with
+from flaxscale.leases.duties import ORPHAN_AFTER, RETRY_AFTER, OrphanScan, Schedule, pieces_of, task_with
 from flaxscale.leases.fence import Fence
 from flaxscale.leases.granter import Busy, Granted, Granter
-from flaxscale.leases.holder import AGAIN, DEAF, PAUSE_MOST, RUSH, Holder
-from flaxscale.leases.shares import Fit, eligible, share
+from flaxscale.leases.holder import MAX_RETRY_DELAY, RECONNECTS_PER_SECOND, REQUEST_TIMEOUT, SILENCE_TIMEOUT, Holder
+from flaxscale.leases.shares import Candidate, eligible, share
 from flaxscale.leases.terms import RENEWALS, Task
 from flaxscale.proto import catalogue_pb2 as pb
 from flaxscale.rules.duties import done_again, one_at_a_time
@@ -33,15 +33,15 @@
 
 class Terms(unittest.TestCase):
     def test_a_span_too_short_for_drift_and_step_is_refused_with_both_figures(self):
-        self.assertIsNone(DUTY.fault())
-        self.assertEqual((49_000, 51_001), (DUTY.usable(), DUTY.waited()))
+        self.assertIsNone(DUTY.error())
+        self.assertEqual((49_000, 51_001), (DUTY.holder_span(), DUTY.granter_span()))
         self.assertEqual(
             "a span of 1 s is too short for a step of 1 s and a drift of 0.02: 1.55 s at least",
-            DUTY._replace(span=10_000).fault(),
+            DUTY._replace(span=10_000).error(),
         )
-        self.assertIsNone(DUTY._replace(span=15_500).fault())
-        self.assertIn("drift", DUTY._replace(drift=0.5).fault())
-        self.assertIn("step", DUTY._replace(step=0).fault())
+        self.assertIsNone(DUTY._replace(span=15_500).error())
+        self.assertIn("drift", DUTY._replace(drift=0.5).error())
+        self.assertIn("step", DUTY._replace(step=0).error())
 
     def test_a_site_names_duties_that_there_are_with_figures_that_go_together(self):
         def found(duties):
@@ -62,66 +62,68 @@
 
     def test_one_holder_at_a_time_each_under_a_later_token(self):
         g = self.granter()
-        self.assertEqual(Granted("duty", 1, True), g.ask("duty", "a", 0, 0))
-        self.assertEqual(Busy("duty", "a", 1, 41_001), g.ask("duty", "b", 0, 10_000))
-        self.assertEqual(Granted("duty", 1, False), g.ask("duty", "a", 1, 20_000))  # renewed
-        self.assertEqual(Busy("duty", "a", 1, 1), g.ask("duty", "b", 0, 71_000))
-        self.assertEqual(Granted("duty", 2, True), g.ask("duty", "b", 0, 71_001))
-        self.assertIsInstance(g.ask("duty", "a", 1, 71_002), Busy)  # it thought so too long
-        self.assertFalse(g.give("duty", "a", 1, 71_003))
-        self.assertTrue(g.give("duty", "b", 2, 71_004))
-        self.assertEqual(Granted("duty", 3, True), g.ask("duty", "a", 0, 71_004))  # no gap
-        self.assertIsInstance(g.ask("sing", "a", 0, 71_004), Busy)  # no such duty
+        self.assertEqual(Granted("duty", 1, True), g.request("duty", "a", 0, 0))
+        self.assertEqual(Busy("duty", "a", 1, 41_001), g.request("duty", "b", 0, 10_000))
+        self.assertEqual(Granted("duty", 1, False), g.request("duty", "a", 1, 20_000))  # renewed
+        self.assertEqual(Busy("duty", "a", 1, 1), g.request("duty", "b", 0, 71_000))
+        self.assertEqual(Granted("duty", 2, True), g.request("duty", "b", 0, 71_001))
+        self.assertIsInstance(g.request("duty", "a", 1, 71_002), Busy)  # it thought so too long
+        self.assertFalse(g.release("duty", "a", 1, 71_003))
+        self.assertTrue(g.release("duty", "b", 2, 71_004))
+        self.assertEqual(Granted("duty", 3, True), g.request("duty", "a", 0, 71_004))  # no gap
+        self.assertIsInstance(g.request("sing", "a", 0, 71_004), Busy)  # no such duty
         self.assertEqual(
             [("granted", 1), ("granted", 2), ("given", 2), ("granted", 3)], [(e.what, e.token) for e in g.past]
         )
 
     def test_after_a_start_nothing_new_until_every_span_is_over_but_who_holds_renews(self):
         g = self.granter()
-        g.ask("duty", "a", 0, 0)
+        g.request("duty", "a", 0, 0)
         again = Granter({"duty": DUTY}, 7_000)
         again.load(g.dump(), 7_000)
-        self.assertEqual(Busy("duty", "", 0, 51_001), again.ask("duty", "b", 0, 7_000))
-        self.assertEqual(Granted("duty", 1, False), again.ask("duty", "a", 1, 8_000))
+        self.assertEqual(Busy("duty", "", 0, 51_001), again.request("duty", "b", 0, 7_000))
+        self.assertEqual(Granted("duty", 1, False), again.request("duty", "a", 1, 8_000))
         # A store without that grant, or older than it: the holder's own word is enough, and its token counts.
         for kept in (Granter({"duty": DUTY}, 0).dump(), g.dump()):
             older = Granter({"duty": DUTY}, 7_000)
             older.load(kept, 7_000)
-            self.assertEqual(Granted("duty", 9, True), older.ask("duty", "c", 9, 8_000))
-            self.assertEqual(Granted("duty", 10, True), older.ask("duty", "b", 0, 8_000 + DUTY.waited()))
+            self.assertEqual(Granted("duty", 9, True), older.request("duty", "c", 9, 8_000))
+            self.assertEqual(Granted("duty", 10, True), older.request("duty", "b", 0, 8_000 + DUTY.granter_span()))
 
     def test_each_start_counts_on_from_an_era_so_that_a_store_put_back_gives_no_token_again(self):
         g, older = self.granter(), Granter({"duty": DUTY}, 0, opened=0)
-        g.era(1_800_000_000.7)
-        self.assertEqual((1_800_000_000 << 20) + 1, g.ask("duty", "a", 0, 0).token)
-        older.era(1_800_000_003)
-        self.assertGreater(older.ask("duty", "b", 0, 0).token, g.count)
+        g.start_era(1_800_000_000.7)
+        self.assertEqual((1_800_000_000 << 20) + 1, g.request("duty", "a", 0, 0).token)
+        older.start_era(1_800_000_003)
+        self.assertGreater(older.request("duty", "b", 0, 0).token, g.count)
         again = Granter({"duty": DUTY}, 0, opened=0, count=g.count)
-        again.era(5)  # its clock was put back: the count that it keeps is more
-        self.assertEqual(g.count + 1, again.ask("duty", "b", 0, 0).token)
+        again.start_era(5)  # its clock was put back: the count that it keeps is more
+        self.assertEqual(g.count + 1, again.request("duty", "b", 0, 0).token)
 
     def test_records_bring_back_what_was_told(self):
         g, log = self.granter(), []
         for owner, at in (("a", 0), ("b", 60_000), ("a", 120_000)):
-            g.ask("duty", owner, 0, at)
+            g.request("duty", owner, 0, at)
             log.append(g.record())
-        g.give("duty", "a", 3, 130_000)
+        g.release("duty", "a", 3, 130_000)
         log.append(g.record())
         again = Granter({"duty": DUTY}, 0)
         for data in log:
-            again.take(data, 0)
+            again.replay(data, 0)
         self.assertEqual((3, [tuple(e) for e in g.past]), (again.count, [tuple(e) for e in again.past]))
         with self.assertRaises(ValueError):
-            again.take(b"\x93\x07\x01\x02", 0)
+            again.replay(b"\x93\x07\x01\x02", 0)
 
     def test_a_resource_takes_nothing_older_and_no_token_of_two(self):
         fence = Fence()
         self.assertEqual(
             [True, True, False, True, False, False],
-            [fence.takes("duty", *act) for act in ((2, "a"), (2, "a"), (2, "b"), (5, "b"), (4, "a"), (0, "a"))],
+            [fence.accepts("duty", *act) for act in ((2, "a"), (2, "a"), (2, "b"), (5, "b"), (4, "a"), (0, "a"))],
         )
         again = Fence(fence.dump())
-        self.assertEqual((5, False, True), (again.token("duty"), again.takes("duty", 4, "c"), again.takes("x", 1, "c")))
+        self.assertEqual(
+            (5, False, True), (again.token("duty"), again.accepts("duty", 4, "c"), again.accepts("x", 1, "c"))
+        )
 
 
 class Durable(unittest.IsolatedAsyncioTestCase):
@@ -180,9 +182,9 @@
                 again = self.service(FaultyFiles(left))
                 if tokens:
                     self.assertGreaterEqual(again.granter.count, tokens[-1][1])
-                    self.assertNotIn(again.granter.ask("duty", "d.1", 0, 1 << 40).token, [t for _, t in tokens])
+                    self.assertNotIn(again.granter.request("duty", "d.1", 0, 1 << 40).token, [t for _, t in tokens])
                 if acted:
-                    self.assertFalse(again.fence.takes("duty", 1, "z.1"))
+                    self.assertFalse(again.fence.accepts("duty", 1, "z.1"))
                     self.assertIn(acted[-1].encode(), again.done["duty"])
 
     async def test_a_disk_that_is_full_ends_granting_and_tells_nothing(self):
@@ -214,7 +216,7 @@
         self.assertGreater(token, 1)
         for left in disk.survivors():  # what was acknowledged before and after the fault outlives the power
             again = self.service(FaultyFiles(left))
-            self.assertFalse(again.fence.takes("duty", token - 1, "z.1") and again.granter.count < token)
+            self.assertFalse(again.fence.accepts("duty", token - 1, "z.1") and again.granter.count < token)
             self.assertIn("duty", again.done)
             self.assertGreaterEqual(again.granter.count, token)
 
@@ -222,8 +224,8 @@
 class Holding(unittest.TestCase):
     def holder(self):
         h = Holder("m0.1", 7, 0)
-        h.wants({"duty": DUTY}, 0)
-        h.source(True, 1, 0)
+        h.set_wanted({"duty": DUTY}, 0)
+        h.set_connected(True, 1, 0)
         return h
 
     def asked(self, h, now):
@@ -235,12 +237,12 @@
         at = h.wanted["duty"].next_at
         _, number = self.asked(h, at)
         self.assertTrue(h.granted("duty", number, 4, at + 3_000))
-        self.assertEqual((4, at + DUTY.usable()), h.may_begin("duty", at + 3_000)[1:])
-        last = at + DUTY.usable() - DUTY.step
+        self.assertEqual((4, at + DUTY.holder_span()), h.may_begin("duty", at + 3_000)[1:])
+        last = at + DUTY.holder_span() - DUTY.step
         self.assertIsNotNone(h.may_begin("duty", last - 1))
         self.assertIsNone(h.may_begin("duty", last))
         self.assertTrue(h.holds("duty", last))
-        self.assertFalse(h.holds("duty", at + DUTY.usable()))
+        self.assertFalse(h.holds("duty", at + DUTY.holder_span()))
 
     def test_it_renews_in_time_for_two_to_be_lost_and_an_answer_to_no_asking_counts_nothing(self):
         h = self.holder()
@@ -248,7 +250,7 @@
         _, number = self.asked(h, at)
         h.granted("duty", number, 4, at)
         times, now = [], at
-        while now < at + DUTY.usable():
+        while now < at + DUTY.holder_span():
             if due := h.due(now):
                 times.append(now)
                 self.assertEqual(("duty", 4), due[0][:2])
@@ -260,8 +262,8 @@
 
     def test_many_pieces_are_renewed_together(self):
         h, messages, now = Holder("m0.1", 7, 0), 0, 0
-        h.wants({f"duty/{n}": DUTY for n in range(40)}, 0)
-        h.source(True, 1, 0)
+        h.set_wanted({f"duty/{n}": DUTY for n in range(40)}, 0)
+        h.set_connected(True, 1, 0)
         while now < 20 * DUTY.span:
             if asked := h.due(now):
                 messages += 1
@@ -278,64 +280,64 @@
             _, number = self.asked(h, now)
             h.busy("duty", number, "m1.1", 3, 20_000, now)
             self.assertGreaterEqual(h.wanted["duty"].next_at, now + 20_000)
-            self.assertLessEqual(h.wanted["duty"].next_at, now + PAUSE_MOST)
+            self.assertLessEqual(h.wanted["duty"].next_at, now + MAX_RETRY_DELAY)
             now = h.wanted["duty"].next_at
-        self.assertEqual(({"duty": ("m1.1", 3, 20_000)}, 3), (h.refused, h.seen))
-        # After an outage those of a fleet come spread over three seconds, RUSH a second.
+        self.assertEqual(({"duty": ("m1.1", 3, 20_000)}, 3), (h.refused, h.highest_token))
+        # After an outage those of a fleet come spread over three seconds, RECONNECTS_PER_SECOND a second.
         firsts = []
         for m in range(300):
             one = Holder(f"m{m}.1", m, 0)
-            one.wants({"duty": DUTY}, 0)
-            one.source(True, 300, 1_000)
+            one.set_wanted({"duty": DUTY}, 0)
+            one.set_connected(True, 300, 1_000)
             firsts.append(one.wanted["duty"].next_at)
         by_second = collections.Counter((at - 1_000) // 10_000 for at in firsts)
-        self.assertLess(max(by_second.values()), 1.4 * RUSH)
+        self.assertLess(max(by_second.values()), 1.4 * RECONNECTS_PER_SECOND)
         self.assertEqual(3, len(by_second))
 
     def test_without_a_way_nothing_is_asked_and_a_lost_asking_is_given_up(self):
         h = self.holder()
         at = h.wanted["duty"].next_at
         self.asked(h, at)
-        self.assertEqual([], h.due(at + AGAIN - 1))
-        h.due(at + AGAIN)
+        self.assertEqual([], h.due(at + REQUEST_TIMEOUT - 1))
+        h.due(at + REQUEST_TIMEOUT)
         self.assertTrue(h.due(h.wanted["duty"].next_at))
-        h.source(False, 1, at)
-        self.assertEqual([], h.due(at + 10 * AGAIN))
+        h.set_connected(False, 1, at)
+        self.assertEqual([], h.due(at + 10 * REQUEST_TIMEOUT))
 
     def test_a_way_that_only_seems_to_stand_is_found_out_by_askings_without_a_word(self):
         # A stream that was cut silently stayed up, its holder kept its shares, and nobody was asked to follow it.
         h = self.holder()
         first = at = h.wanted["duty"].next_at
         _, number = self.asked(h, at)
-        self.assertFalse(h.deaf(at + DEAF - 1))
-        self.assertTrue(h.deaf(at + DEAF))
-        while at < first + DEAF:  # asked again meanwhile: it counts from the first
-            at = h.wanted["duty"].next_at if h.wanted["duty"].asked_at is None else at + AGAIN
+        self.assertFalse(h.granter_silent(at + SILENCE_TIMEOUT - 1))
+        self.assertTrue(h.granter_silent(at + SILENCE_TIMEOUT))
+        while at < first + SILENCE_TIMEOUT:  # asked again meanwhile: it counts from the first
+            at = h.wanted["duty"].next_at if h.wanted["duty"].asked_at is None else at + REQUEST_TIMEOUT
             h.due(at)
-        self.assertTrue(h.deaf(at))
+        self.assertTrue(h.granter_silent(at))
         h.busy("duty", h.wanted["duty"].number, "m1.1", 3, 100, at)  # any word of it will do
-        self.assertFalse(h.deaf(at + DEAF))
+        self.assertFalse(h.granter_silent(at + SILENCE_TIMEOUT))
         at = h.wanted["duty"].next_at
         self.asked(h, at)
-        h.source(False, 1, at)
-        self.assertFalse(h.deaf(at + DEAF))  # it is known to be down
-        h.source(True, 1, at)
-        self.assertFalse(h.deaf(at + DEAF))  # nothing was asked of it yet
+        h.set_connected(False, 1, at)
+        self.assertFalse(h.granter_silent(at + SILENCE_TIMEOUT))  # it is known to be down
+        h.set_connected(True, 1, at)
+        self.assertFalse(h.granter_silent(at + SILENCE_TIMEOUT))  # nothing was asked of it yet
 
     def test_what_is_no_longer_ours_is_given_back_after_its_step_and_a_resource_outdates_us(self):
         h = self.holder()
         at = h.wanted["duty"].next_at
         _, number = self.asked(h, at)
         h.granted("duty", number, 4, at)
-        h.wants({}, at)
+        h.set_wanted({}, at)
         self.assertIsNone(h.may_begin("duty", at))
-        self.assertEqual([[], [("duty", 4)], []], [h.give(at, {"duty"}), h.give(at), h.give(at)])
-        h.wants({"duty": DUTY}, at)
+        self.assertEqual([[], [("duty", 4)], []], [h.releases(at, {"duty"}), h.releases(at), h.releases(at)])
+        h.set_wanted({"duty": DUTY}, at)
         _, number = self.asked(h, at)
         h.granted("duty", number, 5, at)
         h.outdated("duty", 8)
-        self.assertEqual((8, False), (h.seen, h.holds("duty", at)))
-        self.assertEqual([], h.leave(at))
+        self.assertEqual((8, False), (h.highest_token, h.holds("duty", at)))
+        self.assertEqual([], h.release_all(at))
 
 
 class Shares(unittest.TestCase):
@@ -353,35 +355,37 @@
         self.assertEqual({}, share(["p"], {}))
 
     def test_who_is_under_the_floor_holds_none_who_is_full_is_not_chosen_and_who_is_slow_gives_some_up(self):
-        fits = [Fit("a"), Fit("b", slow=True), Fit("c", full=True), Fit("d", under=True)]
+        fits = [Candidate("a"), Candidate("b", slow=True), Candidate("c", full=True), Candidate("d", under=True)]
         weights = eligible(fits)
         self.assertEqual({"a": 1.0, "b": 0.5}, weights)
         parts = collections.Counter(share([f"p{n}" for n in range(30)], weights).values())
         self.assertEqual({"a": 20, "b": 10}, dict(parts))
-        self.assertEqual({"c": 1.0}, eligible([Fit("c", full=True), Fit("d", under=True)]))
-        self.assertEqual({}, eligible([Fit("d", under=True), Fit("e", away=True)]))  # cut off from who grants
+        self.assertEqual({"c": 1.0}, eligible([Candidate("c", full=True), Candidate("d", under=True)]))
+        self.assertEqual(
+            {}, eligible([Candidate("d", under=True), Candidate("e", away=True)])
+        )  # cut off from who grants
 
 
 class Duties(unittest.TestCase):
     def test_an_orphan_is_left_to_all_others_first(self):
-        sweep, rows = Sweep(), [("k1", "m0", 0), ("k2", "m9", 3)]
-        self.assertEqual([], sweep.look(rows, ["m0"], 0))
-        self.assertEqual([], sweep.look(rows, ["m0", "m9"], 30_000))  # it came back
-        self.assertEqual([], sweep.look(rows, ["m0"], 40_000))
-        self.assertEqual([], sweep.look(rows, ["m0"], 40_000 + ORPHAN_AFTER - 1))
-        self.assertEqual([("k2", "m9", 3)], sweep.look(rows, ["m0"], 40_000 + ORPHAN_AFTER))
-        self.assertEqual([], sweep.look([("k2", "m8", 4)], ["m0"], 40_000 + ORPHAN_AFTER))  # it had another since
+        sweep, rows = OrphanScan(), [("k1", "m0", 0), ("k2", "m9", 3)]
+        self.assertEqual([], sweep.overdue(rows, ["m0"], 0))
+        self.assertEqual([], sweep.overdue(rows, ["m0", "m9"], 30_000))  # it came back
+        self.assertEqual([], sweep.overdue(rows, ["m0"], 40_000))
+        self.assertEqual([], sweep.overdue(rows, ["m0"], 40_000 + ORPHAN_AFTER - 1))
+        self.assertEqual([("k2", "m9", 3)], sweep.overdue(rows, ["m0"], 40_000 + ORPHAN_AFTER))
+        self.assertEqual([], sweep.overdue([("k2", "m8", 4)], ["m0"], 40_000 + ORPHAN_AFTER))  # it had another since
 
     def test_each_is_done_once_a_period_and_again_soon_where_it_failed(self):
-        turns = Turns()
+        turns = Schedule()
         self.assertTrue(turns.due("duty", DUTY, 5))
         turns.begin("duty")
         self.assertFalse(turns.due("duty", DUTY, 5))
-        turns.over("duty", 10)
+        turns.done("duty", 10)
         self.assertEqual([False, True], [turns.due("duty", DUTY, at) for at in (DUTY.period + 9, DUTY.period + 10)])
         slow = DUTY._replace(period=600_000)
         turns.failed("duty", slow, 20)
-        self.assertEqual([False, True], [turns.due("duty", slow, 20 + at) for at in (RETRY - 1, RETRY)])
+        self.assertEqual([False, True], [turns.due("duty", slow, 20 + at) for at in (RETRY_AFTER - 1, RETRY_AFTER)])
 
     def test_the_judge_finds_an_overlap_a_shared_token_and_a_gap(self):
         def act(at, token, owner):
--- a/tests/test_seats.py
+++ b/tests/test_seats.py
@@ -21,7 +21,7 @@
         self.assertTrue(book.claim("a", (9, 0)) and book.claim("b", (9, 0)))
         self.assertFalse(book.claim("a", (9, 0)))  # asked for again: one seat all the same
         self.assertEqual(({(9, 0): 2}, {1, 2}), book.reserved(100 * S))
-        book.said(1)
+        book.box_reported(1)
         self.assertTrue(book.settled("a"))
         self.assertFalse(book.settled("a"))
         self.assertEqual(({(9, 0): 1}, {2}), book.reserved(104 * S + DRIFT - 1))
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -167,9 +167,9 @@
     async def test_words_of_what_is_asked_reach_the_others(self):
         await self.all_met()
         shell, came = self.fronts[1].members.shell, asyncio.get_running_loop().create_future()
-        hear = shell.word
-        shell.word = lambda *word: (hear(*word), came.done() or came.set_result(word))
-        self.fronts[0].members.shell.tell(2, 123.0)
+        hear = shell.load_changed
+        shell.load_changed = lambda *word: (hear(*word), came.done() or came.set_result(word))
+        self.fronts[0].members.shell.report_load(2, 123.0)
         self.assertEqual(("m0", 2, 123.0), await asyncio.wait_for(came, 10))
         self.assertEqual(123.0, sum(self.fronts[1].runner.manager.servers[2].link.changes.since(0)))
 
@@ -177,7 +177,7 @@
         await self.all_met()
         shell = self.fronts[1].members.shell
         before = shell.swim.alive()
-        message = swim.Message("ping", 1, "m9", "", (swim.News("m0", "x:1", swim.State.DEAD, 99, "x"),))
+        message = swim.Message("ping", 1, "m9", "", (swim.Update("m0", "x:1", swim.State.DEAD, 99, "x"),))
         from flaxscale.members import wire as members_wire
 
         for key in (b"other", b""):
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -11,17 +11,24 @@
 from flaxscale.catalogue.spread import Follower, Watcher, Whole
 from flaxscale.catalogue.state import HOLDING, Delta, Frame, Put, Title
 from flaxscale.members import wire
-from flaxscale.members.adopt import Session, plan
-from flaxscale.members.swim import News, State, Swim
+from flaxscale.members.swim import State, Swim, Update
+from flaxscale.members.takeover import Session, plan_claims
 from flaxscale.recovery import lent, tries
 from flaxscale.recovery.owed import Owed
 from flaxscale.site.shapes import FleetRow
 from flaxscale.store.faulty import FaultyFiles
 from flaxscale.store.files import Files
-from flaxscale.versions import handing
-from flaxscale.versions.board import Board, Row
-from flaxscale.versions.bringup import AT_ONCE, BYTES, NUDGE, NUDGE_AGAIN, BringUp, Giver
-from flaxscale.versions.floor import At, FloorBook, Watching, by_rule, objection
+from flaxscale.versions import transfer
+from flaxscale.versions.catchup import (
+    BYTES_PER_SECOND,
+    MAX_TRANSFERS,
+    NUDGE_AFTER,
+    NUDGE_INTERVAL,
+    CatchUp,
+    TransferLimit,
+)
+from flaxscale.versions.floor import FloorBook, VersionId, WatcherVersion, automatic_floor, objection
+from flaxscale.versions.table import Row, VersionTable
 
 FRAME = Frame({"clip": 0}, frozenset(), 3)
 
@@ -34,33 +41,34 @@
     def test_it_rises_only_and_holds_through_a_start(self):
         book = FloorBook()
         self.assertFalse(book.refuses(None))  # none stands: nothing is refused
-        self.assertTrue(book.source("a", 0))
-        self.assertFalse(book.refuses(At("a", 0)))
-        self.assertTrue(book.source("a", 5))
-        self.assertFalse(book.told("a", 4))
-        self.assertTrue(book.told("a", 7))  # by a manager that knows more than our source told us
+        self.assertTrue(book.set_from_source("a", 0))
+        self.assertFalse(book.refuses(VersionId("a", 0)))
+        self.assertTrue(book.set_from_source("a", 5))
+        self.assertFalse(book.raise_from_peer("a", 4))
+        self.assertTrue(book.raise_from_peer("a", 7))  # by a manager that knows more than our source told us
         book = FloorBook(book.dump())
         self.assertEqual(
-            [True, False, True, False], [book.refuses(at) for at in (At("a", 6), At("a", 7), None, At("newer", 1))]
+            [True, False, True, False],
+            [book.refuses(at) for at in (VersionId("a", 6), VersionId("a", 7), None, VersionId("newer", 1))],
         )
-        book.source("b", 0)  # the source was put back: an epoch of its own, no floor yet
-        self.assertEqual([False, False], [book.refuses(At("a", 6)), book.refuses(At("b", 1))])
-        book.source("b", 2)
-        self.assertEqual([True, True, False], [book.refuses(At(*at)) for at in (("a", 99), ("b", 1), ("b", 2))])
-        self.assertFalse(book.told("a", 99))  # of an epoch that is over
+        book.set_from_source("b", 0)  # the source was put back: an epoch of its own, no floor yet
+        self.assertEqual([False, False], [book.refuses(VersionId("a", 6)), book.refuses(VersionId("b", 1))])
+        book.set_from_source("b", 2)
+        self.assertEqual([True, True, False], [book.refuses(VersionId(*at)) for at in (("a", 99), ("b", 1), ("b", 2))])
+        self.assertFalse(book.raise_from_peer("a", 99))  # of an epoch that is over
         with self.assertRaises(ValueError):
             FloorBook(b"x")
 
     def test_who_may_raise_it_and_when_the_rule_does(self):
-        fleet = [Watching("m0", 9, 0), Watching("m1", 9, 0), Watching("m2", 4, 100)]
+        fleet = [WatcherVersion("m0", 9, 0), WatcherVersion("m1", 9, 0), WatcherVersion("m2", 4, 100)]
         self.assertEqual("", objection(9, 9, fleet, 0.34))
         self.assertIn("shut out 1 of 3 managers (m2)", objection(9, 9, fleet, 0.3))
         for force in (0.3, 1.0):
             self.assertIn("no version 10 yet", objection(10, 9, fleet, force))
         times = [(4, 0), (8, 50), (9, 100)]
-        self.assertEqual([None, 8, 9], [by_rule(times, at, 60, fleet, 0.34) for at in (105, 115, 160)])
-        self.assertEqual(None, by_rule(times, 160, 60, [Watching("m0", 9, 0)], 0.34))  # nobody is behind
-        self.assertEqual(None, by_rule(times, 160, 60, fleet[1:], 0.34))  # half of them would be out
+        self.assertEqual([None, 8, 9], [automatic_floor(times, at, 60, fleet, 0.34) for at in (105, 115, 160)])
+        self.assertEqual(None, automatic_floor(times, 160, 60, [WatcherVersion("m0", 9, 0)], 0.34))  # nobody is behind
+        self.assertEqual(None, automatic_floor(times, 160, 60, fleet[1:], 0.34))  # half of them would be out
 
     def test_a_floor_is_a_version_durable_and_spread_as_one(self):
         files = FaultyFiles()
@@ -99,17 +107,17 @@
 
 class Behind(unittest.TestCase):
     def boards(self):
-        boards = {name: Board(name, f"life-{name}") for name in ("m0", "m1", "m2", "m3")}
+        boards = {name: VersionTable(name, f"life-{name}") for name in ("m0", "m1", "m2", "m3")}
         for name, board in boards.items():
-            board.mine(epoch="e", version=5, digest=1, settings="s", up=True)
+            board.update_own(epoch="e", version=5, digest=1, settings="s", up=True)
         return boards
 
     def tell(self, boards, now, only=()):
         for sender in only or boards:
             for hearer in boards:
                 if hearer != sender:
-                    for row in boards[sender].rides(4):
-                        boards[hearer].hear(row, sender, lambda name: f"life-{name}", now)
+                    for row in boards[sender].rows_to_send(4):
+                        boards[hearer].receive(row, sender, lambda name: f"life-{name}", now)
 
     def test_who_is_behind_since_when_and_why(self):
         boards, all_of = self.boards(), ["m0", "m1", "m2", "m3"]
@@ -123,32 +131,32 @@
         self.tell(boards, 10)
         self.assertEqual([[]] * 4, found(10))
         for name in ("m0", "m1", "m2"):
-            boards[name].mine(version=6)
-        boards["m3"].mine(up=False)
-        boards["m2"].mine(settings="other", refused=7)
+            boards[name].update_own(version=6)
+        boards["m3"].update_own(up=False)
+        boards["m2"].update_own(settings="other", refused=7)
         self.tell(boards, 20)
         self.assertEqual([[]] * 4, found(20))  # not for long yet
-        self.assertEqual({At("e", 6)}, {board.newest(all_of) for board in boards.values()})
+        self.assertEqual({VersionId("e", 6)}, {board.newest(all_of) for board in boards.values()})
         self.assertEqual([[("m2", "refuses", 20)]] * 3 + [[("m2", "refuses", 20), ("m3", "behind", 20)]], found(30_020))
         self.tell(boards, 30_030, only=["m3"])  # it knows it, and says so
         self.assertEqual([[("m2", "refuses", 20), ("m3", "behind", 20)]] * 4, found(30_030))
         # Versions that come faster than rows do: whoever moves on is not behind.
-        boards["m2"].mine(refused=0)
-        boards["m3"].mine(version=6)
+        boards["m2"].update_own(refused=0)
+        boards["m3"].update_own(version=6)
         for n, now in enumerate(range(30_040, 130_040, 5_000), 7):
-            boards["m0"].mine(version=n)
+            boards["m0"].update_own(version=n)
             self.tell(boards, now)
             for name in ("m1", "m2", "m3"):
-                boards[name].mine(version=n)
+                boards[name].update_own(version=n)
             self.assertEqual([], [row for row in found(now)[0] if row[1] == "behind"])
         self.assertEqual([("m1", "unheard"), ("m2", "settings")], [row[:2] for row in found(130_040, ["m1"])[0]])
 
     def test_one_that_hears_nothing_but_talks_is_known_by_what_it_tells_itself(self):
         boards, all_of = self.boards(), ["m0", "m1"]
-        boards["m0"].mine(version=6)
-        boards["m0"].look(all_of, 10)
+        boards["m0"].update_own(version=6)
+        boards["m0"].refresh(all_of, 10)
         for now in (20, 40_000):
-            boards["m0"].hear(boards["m1"].me, "m1", lambda name: "life-m1", now)
+            boards["m0"].receive(boards["m1"].me, "m1", lambda name: "life-m1", now)
             self.assertEqual(
                 [] if now == 20 else [("m1", "behind", 10)],
                 [(s.name, s.why, s.since) for s in boards["m0"].stragglers(all_of, [], 30_000, now)],
@@ -157,22 +165,24 @@
     def test_an_earlier_life_is_not_told_on_and_a_source_put_back_is_right_about_its_epoch(self):
         board = self.boards()["m0"]
         old = Row("m1", "before", 40, "e", 9, 0, 0, 0, "s", True, 0)
-        board.hear(old, "m2", lambda name: "life-m1", 1)
+        board.receive(old, "m2", lambda name: "life-m1", 1)
         self.assertEqual({}, board.rows)
-        board.hear(old._replace(boot="life-m1", count=2, epoch="f", version=3), "m1", lambda name: None, 2)
-        self.assertEqual(At("e", 5), board.newest(["m0", "m1"]))  # one says this, one that: our own
-        board.mine(up=False)
-        self.assertEqual(At("f", 3), board.newest(["m0", "m1"]))  # who hears the source knows the epoch
-        board.hear(old._replace(boot="life-m1", count=1, epoch="g"), "m1", lambda name: None, 3)
+        board.receive(old._replace(boot="life-m1", count=2, epoch="f", version=3), "m1", lambda name: None, 2)
+        self.assertEqual(VersionId("e", 5), board.newest(["m0", "m1"]))  # one says this, one that: our own
+        board.update_own(up=False)
+        self.assertEqual(VersionId("f", 3), board.newest(["m0", "m1"]))  # who hears the source knows the epoch
+        board.receive(old._replace(boot="life-m1", count=1, epoch="g"), "m1", lambda name: None, 3)
         self.assertEqual("f", board.rows["m1"].epoch)  # told late
 
     def test_rows_ride_on_messages_of_a_bounded_size_and_an_older_build_passes_over_them(self):
         swim = Swim("m0", "127.0.0.1:1", "b", 1, 0)
-        news = tuple(News(f"m{n}", "127.0.0.1:12345", State.ALIVE, 1, "01234567", "127.0.0.1:12345") for n in range(20))
+        news = tuple(
+            Update(f"m{n}", "127.0.0.1:12345", State.ALIVE, 1, "01234567", "127.0.0.1:12345") for n in range(20)
+        )
         row = Row("m0", "01234567", 3, "0123456789ab", 10**6, 10**6, 2**63, 10**6, "0123456789abcdef", True, 0)
         message = swim.message("ping", 1, "m1")._replace(news=news, held=(row,) * 6)
         data = wire.encode(message, b"k")
-        self.assertLessEqual(len(data), wire.MOST)
+        self.assertLessEqual(len(data), wire.MAX_BYTES)
         self.assertEqual(news, wire.decode(data, [b"k"]).news[:20])  # who lives comes first
         other = row._replace(name="m1", epoch="f", digest=0)
         small = message._replace(news=news[:4], held=(row, row._replace(name="m2", digest=0), other))
@@ -186,30 +196,30 @@
 
 class Up(unittest.TestCase):
     def test_first_the_source_then_another_then_later_and_later(self):
-        up, asked, nudges = BringUp("m0", 3), [], []
+        up, asked, nudges = CatchUp("m0", 3), [], []
         for now in range(0, 600_000, 2_500):
-            step = up.look(now, 0, 10, ["m1", "m2"])
+            step = up.next_step(now, 0, 10, ["m1", "m2"])
             if step.nudge:
                 nudges.append(now)
             if step.peer:
                 asked.append(now)
-                up.came(now, False)
-        self.assertEqual((NUDGE, NUDGE + NUDGE_AGAIN), tuple(nudges[:2]))
+                up.finished(now, False)
+        self.assertEqual((NUDGE_AFTER, NUDGE_AFTER + NUDGE_INTERVAL), tuple(nudges[:2]))
         gaps = [b - a for a, b in zip(asked, asked[1:])]
-        self.assertGreater(asked[0], NUDGE)
+        self.assertGreater(asked[0], NUDGE_AFTER)
         self.assertGreater(min(gaps[3:]), max(gaps[:2]))  # refused, it asks less and less
-        self.assertEqual("m1", up.look(700_000, 0, 10, ["m1"]).peer)
-        up.came(700_000, False, lied=True)  # it is not asked again
-        self.assertEqual({None}, {up.look(now, 0, 10, ["m1"]).peer for now in range(700_000, 999_999, 2_500)})
-        up.look(10**6, None, 0, ())  # level: all is forgotten
-        self.assertEqual("m1", up.look(2 * 10**6, 10**6, 1, ["m1"]).peer)
+        self.assertEqual("m1", up.next_step(700_000, 0, 10, ["m1"]).peer)
+        up.finished(700_000, False, bad_copy=True)  # it is not asked again
+        self.assertEqual({None}, {up.next_step(now, 0, 10, ["m1"]).peer for now in range(700_000, 999_999, 2_500)})
+        up.next_step(10**6, None, 0, ())  # level: all is forgotten
+        self.assertEqual("m1", up.next_step(2 * 10**6, 10**6, 1, ["m1"]).peer)
 
     def test_a_giver_serves_a_few_at_once_and_so_many_bytes_a_second(self):
-        giver = Giver(0)
-        self.assertEqual([True] * AT_ONCE + [False], [giver.may(0) for _ in range(AT_ONCE + 1)])
-        giver.done(6 * BYTES)  # into debt
-        self.assertFalse(giver.may(10_000))
-        self.assertTrue(giver.may(60_000))
+        giver = TransferLimit(0)
+        self.assertEqual([True] * MAX_TRANSFERS + [False], [giver.try_begin(0) for _ in range(MAX_TRANSFERS + 1)])
+        giver.done(6 * BYTES_PER_SECOND)  # into debt
+        self.assertFalse(giver.try_begin(10_000))
+        self.assertTrue(giver.try_begin(60_000))
 
 
 class HandedOver(unittest.TestCase):
@@ -221,18 +231,18 @@
         for n, change in enumerate(({"b": title("b", 2)}, {"a": None}, {}), 2):
             self.recent.append(Delta(n, change, 3 if n == 4 else 0))
             self.giver.delta("e", self.recent[-1])
-        self.told = handing.Told({"m2": self.giver.sum}, True)
+        self.told = transfer.PeerDigests({"m2": self.giver.sum}, True)
 
     def changes(self, since=1):
-        return handing.changes("m1", self.giver, self.recent, "e", since)
+        return transfer.encode_changes("m1", self.giver, self.recent, "e", since)
 
     def test_changes_or_the_whole_bring_up_to_the_same(self):
-        whole = b"".join(handing.whole("m1", self.giver, 1))
-        self.assertEqual(4, handing.version_of(whole))
+        whole = b"".join(transfer.encode_whole("m1", self.giver, 1))
+        self.assertEqual(4, transfer.version_of(whole))
         for data in (self.changes(), whole):
             follower = Follower()
             follower.load("e", 1, {"a": title("a", 1)})
-            epoch, messages = handing.taken(data, follower, "e", self.told)
+            epoch, messages = transfer.verify(data, follower, "e", self.told)
             for m in messages:
                 (follower.whole if isinstance(m, Whole) else follower.delta)(epoch, m)
             self.assertEqual(
@@ -248,16 +258,16 @@
         data = self.changes()
 
         def why(data, wanted="e", told=self.told):
-            with self.assertRaises(handing.Refused) as no:
-                handing.taken(data, self.ours, wanted, told)
-            return no.exception.lied, str(no.exception)
+            with self.assertRaises(transfer.Refused) as no:
+                transfer.verify(data, self.ours, wanted, told)
+            return no.exception.bad_copy, str(no.exception)
 
         for at in range(len(data)):  # any byte: refused, or what it says and others tell
             flipped = bytearray(data)
             flipped[at] ^= 0x41
             try:
-                _, messages = handing.taken(bytes(flipped), self.ours, "e", self.told)
-            except handing.Refused:
+                _, messages = transfer.verify(bytes(flipped), self.ours, "e", self.told)
+            except transfer.Refused:
                 continue
             total = self.ours.sum
             titles = dict(self.ours.titles)
@@ -266,15 +276,18 @@
                 titles.update(m.titles)
             self.assertEqual(self.giver.sum, total)
         self.assertEqual(
-            (True, "version 4 with a digest that m2 tell otherwise"), why(data, told=handing.Told({"m2": 5}, True))
+            (True, "version 4 with a digest that m2 tell otherwise"),
+            why(data, told=transfer.PeerDigests({"m2": 5}, True)),
+        )
+        self.assertEqual(
+            (False, "version 4, which nobody else tells yet"), why(data, told=transfer.PeerDigests({}, True))
         )
-        self.assertEqual((False, "version 4, which nobody else tells yet"), why(data, told=handing.Told({}, True)))
         self.assertEqual((False, "epoch 'e' where 'f' is in force"), why(data, "f"))
         self.assertTrue(why(data[:-3])[0])
         self.giver.titles["b"] = title("b", 9)  # it lies: says one thing and gives another
         self.assertEqual(
             (True, "titles of version 4 that do not amount to its digest"),
-            why(b"".join(handing.whole("m1", self.giver, 5))),
+            why(b"".join(transfer.encode_whole("m1", self.giver, 5))),
         )
         self.ours.version = 4
         self.assertIn("no newer than ours", why(data)[1])
@@ -376,7 +389,7 @@
 
     def test_who_takes_over_ends_what_was_owed_unless_it_had_another_holder_since(self):
         sessions = [Session("a", "m0", 0, "v", True), Session("b", "m0", 2, "w", True)]
-        made = plan(sessions, "m0", "m1", ["m1"], owed={"a": 0, "b": 0})
+        made = plan_claims(sessions, "m0", "m1", ["m1"], pending_releases={"a": 0, "b": 0})
         self.assertEqual(({("a", 1), ("b", 3)}, ("a",)), (set(made.claims), made.ends))
 
 
