--- a/flaxscale/audit/account.py
+++ b/flaxscale/audit/account.py
@@ -13,7 +13,8 @@
 from .stamp import Stamp
 
 SHAPE = 1
-MOST, KEEP = 10_000, 20_000
+MOST = 10_000  # rows that wait to be written
+KEEP = 20_000  # written rows that are kept
 
 
 class Began(msgspec.Struct, array_like=True, tag="l"):
--- a/flaxscale/leases/holder.py
+++ b/flaxscale/leases/holder.py
@@ -14,7 +14,8 @@
 
 REQUEST_TIMEOUT = 5_000  # an asking without an answer is given up
 SILENCE_TIMEOUT = 15_000  # asked for so long without a word: the way to the granter only seems to stand
-RETRY_DELAY, MAX_RETRY_DELAY = 2_500, 50_000  # between two askings for what is refused or not answered
+RETRY_DELAY = 2_500  # the first delay after a request that was refused or not answered
+MAX_RETRY_DELAY = 50_000  # the longest such delay
 RECONNECTS_PER_SECOND = 100  # members that may come at once after an outage; beyond that they spread
 
 
--- a/flaxscale/members/rate_limit.py
+++ b/flaxscale/members/rate_limit.py
@@ -14,10 +14,8 @@
 
 import heapq
 
-CLAIMS_PER_SECOND, CLAIM_BURST = (
-    2_000.0,
-    100,
-)  # claims a second, and at once; with its loop to itself a manager does some 3,200
+CLAIMS_PER_SECOND = 2_000.0  # a manager whose event loop does nothing else makes some 3,200
+CLAIM_BURST = 100  # claims at once
 FULL = 0.95  # of what it may hold
 
 
--- a/flaxscale/members/takeover.py
+++ b/flaxscale/members/takeover.py
@@ -92,7 +92,9 @@
     return Plan(tuple(claims), tuple(ends), min(later, default=None))
 
 
-RANK_DELAY, RETRY_DELAY, MAX_FAILURES = 8_000, 2_500, 16  # tenths of a millisecond; and askings that may fail
+RANK_DELAY = 8_000  # tenths of a millisecond before each further rank is claimed
+RETRY_DELAY = 2_500  # tenths of a millisecond before the box is asked again
+MAX_FAILURES = 16  # consecutive requests without an answer before the box is given up
 
 
 class ClaimRetry:
--- a/flaxscale/members/wire.py
+++ b/flaxscale/members/wire.py
@@ -11,7 +11,9 @@
 from ..versions.table import Row as BoardRow
 from .swim import Message, State, Update
 
-MARK, TAG, MAX_BYTES = b"FM1", 16, 1400
+MARK = b"FM1"  # format marker at the start of each datagram
+TAG = 16  # bytes of the truncated HMAC
+MAX_BYTES = 1400  # of one datagram
 STATES = tuple(State)
 SAME = "="
 
--- a/flaxscale/store/log.py
+++ b/flaxscale/store/log.py
@@ -15,7 +15,8 @@
 
 import xxhash
 
-MAGIC_LOG, MAGIC_SNAP = b"FLXLOG1\n", b"FLXSNP1\n"
+MAGIC_LOG = b"FLXLOG1\n"  # first 8 bytes of a segment
+MAGIC_SNAP = b"FLXSNP1\n"  # first 8 bytes of a snapshot
 HEAD = struct.Struct("<8sQ")
 RECORD = struct.Struct("<IIQQ")
 SNAP = struct.Struct("<8sQQQ")
--- a/flaxscale/versions/catchup.py
+++ b/flaxscale/versions/catchup.py
@@ -15,9 +15,11 @@
 ASK_PEER_AFTER = 20_000  # and for so long, another manager
 SPREAD_PER_MEMBER = 500  # of waiting, for each one that is behind
 SPREAD_MOST = 100_000
-AGAIN, AGAIN_MOST = 5_000, 80_000
+AGAIN = 5_000  # after a copy, and the first delay after a refusal
+AGAIN_MOST = 80_000  # the longest delay after a refusal
 MAX_TRANSFERS = 2  # transfers that one manager gives at once
-BYTES_PER_SECOND, BURST_BYTES = 8_000_000, 16_000_000  # a second; and at once
+BYTES_PER_SECOND = 8_000_000  # sent by one manager
+BURST_BYTES = 16_000_000  # sent by one manager at once
 
 
 class Step(NamedTuple):
