--- a/flaxscale/members/__init__.py
+++ b/flaxscale/members/__init__.py
@@ -1,1 +1,1 @@
-"""Managers that know of each other: failure detection, who takes over what, words. Only managers are ever asked."""
+"""Managers of one fleet: failure detection, takeover of sessions and load reports. Only managers are members."""
--- a/flaxscale/members/drain_requests.py
+++ b/flaxscale/members/drain_requests.py
@@ -1,9 +1,10 @@
-"""Operators' orders to one manager, given to any: carried out once, by the life that they were meant for. No I/O.
+"""Operators' drain requests, sent to any manager and carried out once, by the process that they name. No I/O.
 
-A drain that got no answer may have been carried out: the manager left, its supervisor began it anew, and the same
-order said again would drain the newcomer. So an order names the manager and its life (boot), and whoever is asked says
-what became of that life: it is ours, it lives and is asked itself, or it is over, and then nothing is left to do, since
-the others claim what a life left that went, was killed in the middle of its drain, or died of something else.
+A drain request without an answer may have been carried out: the manager left, its supervisor restarted it, and a
+repeated request would drain the new process. So a request names the manager and its life (the boot id of its process).
+The manager that receives it drains itself where it is the one named, forwards the request where that life is alive, or
+reports that the life has ended. Then nothing is left to do: the other managers claim the sessions of a life that left,
+was killed during its drain or died otherwise.
 """
 
 from typing import NamedTuple
@@ -12,41 +13,41 @@
 
 
 class DrainSelf(NamedTuple):
-    """It is meant for us: we leave. again: we are leaving already."""
+    """The request names this life: it drains. again: it is draining already."""
 
     again: bool
 
 
 class Forward(NamedTuple):
-    """It is meant for another that lives."""
+    """The request names another life, which is alive. serves: the address at which it serves."""
 
     serves: str
 
 
 class LifeEnded(NamedTuple):
-    """That life has ended; why in words."""
+    """The named life has ended. why: how, as text for the operator."""
 
     why: str
 
 
 class UnknownManager(NamedTuple):
-    pass
+    """No manager of that name is known."""
 
 
 def resolve(named, life, me, boot, leaving, member):
-    """What an order to drain comes to at the manager `me`, in its life `boot`.
+    """What the manager `me`, in its life `boot`, does with a drain request.
 
-    named, life: whom it is for; empty: who is asked, in whatever life. member: what we hold of the one named
-    (swim.Member), or None.
+    named, life: the manager and life to drain; empty: the receiver, in any life. leaving: whether `me` is draining
+    already. member: the swim.Member of the named manager, or None.
     """
     if named in ("", me):
         if life not in ("", boot):
-            return LifeEnded(f"{me} has begun anew since")
+            return LifeEnded(f"{me} has restarted since")
         return DrainSelf(leaving)
     if member is None:
         return UnknownManager()
     if life and member.boot != life:
-        return LifeEnded(f"{named} has begun anew since")
+        return LifeEnded(f"{named} has restarted since")
     if member.state is State.LEFT:
         return LifeEnded(f"{named} has left")
     if member.state is State.DEAD:
--- a/flaxscale/members/seats.py
+++ b/flaxscale/members/seats.py
@@ -1,57 +1,63 @@
-"""What may take seats of a manager that it does not hold yet. No I/O; times are tenths of a millisecond.
+"""Seats that sessions may use before this manager holds them. No I/O; times are tenths of a millisecond.
 
-A manager holds a viewing from its tune-in, or from the grant of its claim, until that is over; the module counts
-those. Two kinds may be out there beside them, and each is counted until it is known not to be:
+A manager holds a viewing from its tune-in, or from the grant of its claim, until the viewing ends; the module counts
+those. Two kinds of session may use seats beside them, and each is counted until it is known not to:
 
-- a claim that is out: its box may have granted it already. Reserved from before it is sent until it is held, refused,
-  or, where it was claimed only to be ended, until its box has said that it ended.
-- what an earlier life of this manager left playing. It bears the manager's name and holds a seat, but the new life
-  learns of it only from its boxes. Until a box that is listed has said what it has, it may have as many as seats
-  allow, so that nothing new is seated where it may hold the title. Boxes end what no life has claimed a lease after
-  the life before lost its stream (Gray and Cheriton, "Leases", SOSP 1989: the holder's span ends before the
-  granter's); that life was over before ours began, so that our own wait of a lease and DRIFT ends after theirs.
+- A claim in flight: its box may have granted it already. The seat is reserved from before the claim is sent until the
+  session is held or the claim is refused or, where the session is claimed only to be ended, until the box reports its
+  end.
+- Sessions that an earlier life of this manager left playing. They carry the manager's name and use seats, but the new
+  life learns of them only from the boxes. Until a listed box has reported its sessions it may have as many as seats
+  allow, so nothing new is seated where the box may hold the title. Boxes end sessions that no life has claimed one
+  lease after the earlier life lost its stream (Gray and Cheriton, "Leases", SOSP 1989: the holder's span ends before
+  the granter's). The earlier life ended before this one began, so a wait of one lease and DRIFT ends after that.
 
-What can't be known: what plays at a box that no list names to us while it plays.
+Not covered: sessions at a box that no list names while they play.
 """
 
 from collections import Counter
 from typing import NamedTuple
 
-DRIFT = 5_000  # clocks of two machines, and a box's timer under load, over one lease
+DRIFT = 5_000  # allowance for clock drift and for a late timer of a loaded box, over one lease
 
 
 class Reserved(NamedTuple):
+    """Seats to count as used."""
+
     seats: dict  # (title, package): how many
-    boxes: frozenset  # that may have what an earlier life left
+    boxes: frozenset  # boxes that may have sessions of an earlier life
 
 
 class SeatBook:
-    def __init__(self, born, lease):
-        """born: when this life began; lease: how long a box keeps what its manager left."""
-        self.until = born + lease + DRIFT
-        self.claims, self.unheard, self.heard = {}, set(), set()
+    """One manager's reserved seats."""
+
+    def __init__(self, started_at, lease):
+        """started_at: when this life began. lease: how long a box keeps the sessions of a manager that is gone."""
+        self.until = started_at + lease + DRIFT  # after this no box has sessions of an earlier life
+        self.claims, self.unreported, self.reported = {}, set(), set()
 
     def listed(self, boxes, now):
-        """Boxes that the list names; True where that adds one that may have what an earlier life left."""
-        new = set(boxes) - self.heard - self.unheard if now < self.until else ()
-        self.unheard.update(new)
+        """Takes the boxes of a list; True where that adds one that may have sessions of an earlier life."""
+        new = set(boxes) - self.reported - self.unreported if now < self.until else ()
+        self.unreported.update(new)
         return bool(new)
 
     def box_reported(self, box):
-        """A box told all that it has of an earlier life, and all of it is claimed, ended or another's."""
-        self.heard.add(box)
-        self.unheard.discard(box)
+        """A box reported its sessions of an earlier life, and each is claimed, ended or owned by another."""
+        self.reported.add(box)
+        self.unreported.discard(box)
 
     def claim(self, key, seat):
-        """A claim goes out: from here on it may be granted. False where it is out already."""
+        """Reserves a seat for a claim that is about to be sent. False where it is reserved already."""
         if key in self.claims:
             return False
         self.claims[key] = seat
         return True
 
     def settled(self, key):
-        """It is held now, or known never to be."""
+        """Releases the seat of a claim: its session is held now, or known not to be. False where none was reserved."""
         return self.claims.pop(key, None) is not None
 
     def reserved(self, now):
-        return Reserved(dict(Counter(self.claims.values())), frozenset(self.unheard if now < self.until else ()))
+        """The Reserved seats and boxes at this time."""
+        return Reserved(dict(Counter(self.claims.values())), frozenset(self.unreported if now < self.until else ()))
--- a/flaxscale/members/takeover.py
+++ b/flaxscale/members/takeover.py
@@ -1,13 +1,14 @@
-"""Who takes over what of a manager that died, and how boxes keep two from playing one viewing. No I/O.
+"""Assignment of a dead manager's sessions to the others, and the fencing of sessions at the boxes. No I/O.
 
-Each viewing goes to one of the managers alive by rendezvous hashing (D. Thaler and C. Ravishankar, "Using name-based
-mappings to increase hit rates", IEEE/ACM Transactions on Networking 6(1), 1998): all who hold the same list of the
-living name the same one, and a death moves only what the dead one had.
+Each viewing is assigned to one of the living managers by rendezvous hashing (D. Thaler and C. Ravishankar, "Using
+name-based mappings to increase hit rates", IEEE/ACM Transactions on Networking 6(1), 1998): managers with the same list
+of living members compute the same assignment, and a death moves only the sessions of the dead manager.
 
-Lists differ for a while, so that the choice alone is not enough. A box holds an owner and an epoch for each session.
-A claim names the epoch it saw and raises it by one; a box grants it only from that epoch, once. Orders carry the epoch
-under which their manager holds the session; a box refuses those of an earlier one. So whoever was called dead and goes
-on learns at its first order that the viewing is another's, and lets it go without ending it.
+The lists differ for a while after a change, so the assignment alone does not exclude two owners. A box keeps an owner
+and an epoch for each session. A claim carries the epoch that the claimant read plus one; a box grants each epoch once,
+and only as the successor of its current epoch. Orders carry the epoch under which their sender holds the session; a box
+refuses those of an earlier epoch. A manager that was declared dead but is running learns from its first refused order
+that another owns the session, and drops it without ending it.
 """
 
 from typing import NamedTuple
@@ -16,29 +17,32 @@
 
 
 def weight(manager, name):
+    """The rendezvous weight of a manager for a name; the manager's name breaks ties."""
     return xxhash.xxh3_64_intdigest(f"{manager}\0{name}".encode()), manager
 
 
 def assigned_manager(name, alive):
-    """The manager among `alive` that a viewing's name belongs to; None where there is none."""
+    """The manager in `alive` that a viewing's name is assigned to; None where `alive` is empty."""
     return max(alive, key=lambda manager: weight(manager, name), default=None)
 
 
 def assignment_rank(name, alive, me):
-    """1 for the one that a viewing's name belongs to, 2 for the next in the hashing's order ...; None: not of them."""
-    mine = weight(me, name)
-    return 1 + sum(weight(manager, name) > mine for manager in alive) if me in alive else None
+    """The position of `me` in the hashing order of a viewing's name, from 1; None where `me` is not in `alive`."""
+    own_weight = weight(me, name)
+    return 1 + sum(weight(manager, name) > own_weight for manager in alive) if me in alive else None
 
 
-HOPS = 4  # managers that a client is sent through in search of its viewing
+MAX_REDIRECTS = 4  # managers that one client is redirected through to find its viewing
 
 
 def next_manager(name, me, alive, gone_to, asked):
-    """Who may have a viewing that `me` has not: whom a box named, who set it up, then the hashing's order; or None.
+    """The next manager to ask for a viewing that `me` does not hold, or None.
 
-    asked: who was asked before and did not have it, so that nobody is sent in a circle.
+    gone_to: the owner that a box named, which is tried first; then the manager that set the viewing up, then the
+    hashing order. asked: managers that were asked before and did not hold it; they are left out, so that redirects
+    can't form a cycle.
     """
-    if len(asked) + 1 >= HOPS:
+    if len(asked) + 1 >= MAX_REDIRECTS:
         return None
     order = sorted(alive, key=lambda manager: weight(manager, name), reverse=True)
     return next(
@@ -52,43 +56,47 @@
 
 
 class Session(NamedTuple):
-    """A viewing as a box tells it to who takes over."""
+    """One session as a box reports it to the manager that takes over."""
 
     key: str
     owner: str
     epoch: int
-    name: str  # by which its client calls it
-    used: bool  # its media flow, or it is too young to tell
+    name: str  # of the viewing, as its client knows it
+    used: bool  # media flows, or the session is too young to tell
 
 
 class Claim(NamedTuple):
+    """A claim of one session under its next epoch."""
+
     key: str
-    epoch: int  # the new one
+    epoch: int  # the epoch after the one that the box reported
 
 
 class Plan(NamedTuple):
+    """The claims that one manager makes at one box."""
+
     claims: tuple  # Claims
-    ends: tuple  # keys of sessions that nobody watches, or whose end was owed: they end
-    next: int | None  # the lowest rank at which something of the rest would be ours
+    ends: tuple  # keys to end once claimed: sessions without a viewer, or with a pending release
+    next: int | None  # the lowest rank at which this manager would claim more; None: nothing is left
 
 
 def plan_claims(sessions, dead, me, alive, rank=1, pending_releases=None):
-    """What this manager claims of the sessions that a box holds of a dead one.
+    """The Plan of `me` for a dead manager's sessions at one box.
 
-    alive: those that may take something over. rank: it claims what is its own, and what those before it in the order,
-    up to this rank, have left unclaimed: one may have died in the middle of it, or can't reach the box.
-    pending_releases: {key: epoch} of the ends that the dead one owed there.
+    alive: managers that may take sessions over. rank: `me` claims the sessions for which its own rank is at most this;
+    above 1 these are sessions that managers before it left unclaimed, since one may have died during its takeover or
+    can't reach the box. pending_releases: {key: epoch} of releases that the dead manager had not delivered to the box.
     """
     claims, ends, later = [], [], set()
-    for s in sessions:
-        if s.owner != dead or (mine := assignment_rank(s.name, alive, me)) is None:
+    for session in sessions:
+        if session.owner != dead or (own_rank := assignment_rank(session.name, alive, me)) is None:
             continue
-        if mine > rank:
-            later.add(mine)
+        if own_rank > rank:
+            later.add(own_rank)
             continue
-        claims.append(Claim(s.key, s.epoch + 1))
-        if not s.used or (pending_releases or {}).get(s.key) == s.epoch:
-            ends.append(s.key)
+        claims.append(Claim(session.key, session.epoch + 1))
+        if not session.used or (pending_releases or {}).get(session.key) == session.epoch:
+            ends.append(session.key)
     return Plan(tuple(claims), tuple(ends), min(later, default=None))
 
 
@@ -98,56 +106,66 @@
 
 
 class ClaimRetry:
-    """When one manager asks one box anew for the sessions of a dead one. Only what failed counts against MAX_FAILURES:
-    what is left because the ration was used up comes in a moment, however much there is."""
+    """When one manager asks one box again for the sessions of a dead manager.
+
+    Only failed requests count against MAX_FAILURES. Claims that the rate limit deferred are retried after RETRY_DELAY,
+    however many they are.
+    """
 
     def __init__(self):
         self.rank, self.failures = 1, 0
 
     def answered(self, again):
-        """again: the rank at which something is left to claim, or None. The pause until then; None: it is over."""
+        """The delay before the next request, or None where nothing is left to claim.
+
+        again: the lowest rank at which something is left, or None.
+        """
         if again is None:
             return None
-        pause = RANK_DELAY * (again - self.rank) if again > self.rank else RETRY_DELAY
+        delay = RANK_DELAY * (again - self.rank) if again > self.rank else RETRY_DELAY
         self.rank, self.failures = again, 0
-        return pause
+        return delay
 
     def failed(self):
-        """The box did not answer."""
+        """The delay before the next request after one without an answer, or None where the box is given up."""
         self.failures += 1
         return RETRY_DELAY if self.failures < MAX_FAILURES else None
 
 
 class Fence:
-    """A box's side: owner and epoch by session. Every session begins under its own manager, at epoch 0."""
+    """A box's record of owner and epoch by session. A session begins under the manager that set it up, at epoch 0."""
 
     def __init__(self):
         self.held = {}  # key: (owner, epoch)
 
     def begin(self, key, owner):
+        """Records a new session."""
         self.held.setdefault(key, (owner, 0))
 
     def remove(self, key):
+        """Forgets a session that has ended."""
         self.held.pop(key, None)
 
     def owner(self, key):
+        """The session's owner, or None where the session is not known."""
         return self.held.get(key, (None, 0))[0]
 
     def epoch(self, key):
+        """The session's epoch; 0 where the session is not known."""
         return self.held.get(key, (None, 0))[1]
 
     def claim(self, key, epoch, owner):
-        """True where the session is this owner's now. The same claim twice is granted twice."""
+        """Whether the claim is granted. A repeated claim of the same owner and epoch is granted again."""
         if key not in self.held:
             return False
-        held_by, at = self.held[key]
-        if (held_by, at) == (owner, epoch):
+        current_owner, current_epoch = self.held[key]
+        if (current_owner, current_epoch) == (owner, epoch):
             return True
-        if epoch != at + 1:
+        if epoch != current_epoch + 1:
             return False
         self.held[key] = owner, epoch
         return True
 
     def accepts(self, key, epoch, owner):
-        """Whether an order of this manager, under this epoch, counts. A session not held any more fences nobody."""
+        """Whether an order of this manager under this epoch is accepted. Orders for unknown sessions always are."""
         return key not in self.held or self.held[key] == (owner, epoch)
--- a/flaxscale/members/udp.py
+++ b/flaxscale/members/udp.py
@@ -1,4 +1,4 @@
-"""The members' protocol on a UDP socket: datagrams in and out, one timer, words gathered for a moment."""
+"""The members' protocol on a UDP socket: datagrams in and out, one timer, and load reports sent in batches."""
 
 import asyncio
 import socket
@@ -7,69 +7,82 @@
 from . import wire
 from .swim import Swim
 
-GATHER_S = 0.02  # words to peers wait so long for others
-WORDS = 60  # in one datagram
+BATCH_DELAY_S = 0.02  # load changes are collected for so long before they are sent
+MAX_LOAD_CHANGES = 60  # in one datagram
 
 
 class MemberSocket(asyncio.DatagramProtocol):
+    """One manager as a member, on its socket."""
+
     def __init__(self, name, serves, boot, seed, keys, log, changed, load_changed, via=None, versions=None):
-        """keys: [bytes], the first signs. changed([Update]); load_changed(sender, box, kB a second): as they are heard.
+        """keys: [bytes]; the first signs.
 
-        versions: gives rows that ride on each message, and hears those of others; None: none.
-        via: {address: the address by which we reach it}, where that is another one.
+        changed([Update]): called for changes of other members.
+        load_changed(sender, box, kB a second): called for load reports.
+        versions: gives the rows that are piggybacked on each message, and takes those of others; None: no rows.
+        via: {address: the address to send to instead}.
         """
         self.via, self.versions = via or {}, versions
         self.name, self.serves, self.boot, self.seed, self.keys = name, serves, boot, seed, keys
         self.log, self.changed, self.load_changed = log, changed, load_changed
-        self.swim, self.transport, self.timer, self.words, self.wording = None, None, None, {}, None
+        self.swim, self.transport, self.timer, self.load_changes, self.load_timer = None, None, None, {}, None
         self.refused = 0
-        self.muted = False  # tests: nothing comes or goes, as in a partition
+        self.muted = False  # set by tests: no datagram is sent or received, as in a partition
 
     async def start(self, host, port, seeds):
+        """Opens the socket; its (host, port). seeds: addresses of other members."""
         loop = asyncio.get_running_loop()
         self.transport, _ = await loop.create_datagram_endpoint(lambda: self, (host, port), family=socket.AF_INET)
         bound = self.transport.get_extra_info("sockname")
         address = "%s:%d" % bound[:2]
         self.swim = Swim(self.name, address, self.boot, self.seed, now(), serves=self.serves)
         self.swim.join(seeds)
-        self.ring()
+        self.on_timer()
         return bound[:2]
 
-    def ring(self):
+    def on_timer(self):
+        """Sends what is due."""
         self.timer = None
         self.send(self.swim.tick(now()))
-        self.hear_changes()
+        self.report_changes()
 
     def set_timer(self):
+        """Sets the timer for the next tick."""
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = asyncio.get_running_loop().call_later(max(0.001, (self.swim.due() - now()) / 10_000), self.ring)
+        self.timer = asyncio.get_running_loop().call_later(
+            max(0.001, (self.swim.due() - now()) / 10_000), self.on_timer
+        )
 
-    def hear_changes(self):
+    def report_changes(self):
+        """Logs changes of members, hands them to the owner and sets the timer."""
         if changes := self.swim.take_changes():
-            for news in changes:
+            for update in changes:
                 self.log.info(
                     "member",
-                    name=news.name,
-                    state=news.state.name.lower(),
-                    incarnation=news.incarnation,
-                    address=news.address,
+                    name=update.name,
+                    state=update.state.name.lower(),
+                    incarnation=update.incarnation,
+                    address=update.address,
                 )
             self.changed(changes)
         self.set_timer()
 
     def send(self, out):
+        """Sends messages, each as (address, Message)."""
         for address, message in out:
             if self.versions is not None:
                 message = message._replace(held=self.versions.rides(self.swim.count()))
-            self.put(address, wire.encode(message, self.keys[0]))
+            self.send_datagram(address, wire.encode(message, self.keys[0]))
 
-    def put(self, address, data):
+    def send_datagram(self, address, data):
+        """Sends one datagram; none where the socket is muted, closed or the address is not valid."""
         host, _, port = self.via.get(address, address).rpartition(":")
         if not self.muted and self.transport is not None and port.isdigit():
             self.transport.sendto(data, (host, int(port)))
 
     def datagram_received(self, data, addr):
+        """Takes one datagram, and sends the answers to it."""
         if self.muted or self.swim is None:
             return
         try:
@@ -86,34 +99,39 @@
         if self.versions is not None and message.held:
             self.versions.hear(message.held, message.sender)
         self.send(self.swim.receive(message, "%s:%d" % addr[:2], now()))
-        self.hear_changes()
+        self.report_changes()
 
     def error_received(self, error):
-        pass  # a port without a listener: the probe's time-out says the same
+        pass  # a port without a listener: the probe's time-out covers it
 
-    # Words: what this manager asks of a box has changed
+    # Load reports: changes of the load that this manager requests of a box
 
     def report_load(self, box, kb):
-        self.words[box] = self.words.get(box, 0.0) + kb
-        if self.wording is None:
-            self.wording = asyncio.get_running_loop().call_later(GATHER_S, self.tell_now)
-
-    def tell_now(self):
-        self.wording, words, self.words = None, list(self.words.items()), {}
-        for n in range(0, len(words), WORDS):
-            data = wire.encode_load(self.name, words[n : n + WORDS], self.keys[0])
-            for member in self.swim.probed():
-                self.put(member.address, data)
+        """Reports a change to all members, in kB a second, after BATCH_DELAY_S at most."""
+        self.load_changes[box] = self.load_changes.get(box, 0.0) + kb
+        if self.load_timer is None:
+            self.load_timer = asyncio.get_running_loop().call_later(BATCH_DELAY_S, self.send_load_changes)
+
+    def send_load_changes(self):
+        """Sends the collected changes to all members."""
+        self.load_timer, changes, self.load_changes = None, list(self.load_changes.items()), {}
+        for n in range(0, len(changes), MAX_LOAD_CHANGES):
+            data = wire.encode_load(self.name, changes[n : n + MAX_LOAD_CHANGES], self.keys[0])
+            for member in self.swim.probe_targets():
+                self.send_datagram(member.address, data)
 
     def leave(self):
+        """Announces to all members that this one leaves."""
         self.send(self.swim.leave())
 
     def rejoin(self):
+        """Takes part again after leave()."""
         self.send(self.swim.rejoin())
         self.set_timer()
 
     def close(self):
-        for timer in (self.timer, self.wording):
+        """Closes the socket without announcing it."""
+        for timer in (self.timer, self.load_timer):
             if timer is not None:
                 timer.cancel()
         if self.transport is not None:
--- a/flaxscale/members/wire.py
+++ b/flaxscale/members/wire.py
@@ -1,6 +1,6 @@
-"""Members' messages as bytes: msgpack under a mark of its shape, authenticated by HMAC-SHA-256 (RFC 2104).
+"""The encoding of members' messages: msgpack behind a format marker, authenticated by HMAC-SHA-256 (RFC 2104).
 
-The first key signs; every key is taken, so that keys can be changed one manager at a time.
+The first key signs and every key verifies, so that keys can be replaced one manager at a time.
 """
 
 import hmac
@@ -8,17 +8,19 @@
 
 import msgspec
 
-from ..versions.table import Row as BoardRow
+from ..versions.table import Row as VersionRow
 from .swim import Message, State, Update
 
 MARK = b"FM1"  # format marker at the start of each datagram
 TAG = 16  # bytes of the truncated HMAC
 MAX_BYTES = 1400  # of one datagram
 STATES = tuple(State)
-SAME = "="
+SAME = "="  # stands for the value in the first row of a message
 
 
 class Row(msgspec.Struct, array_like=True):
+    """A swim.Update."""
+
     name: str
     address: str
     state: int
@@ -47,43 +49,49 @@
 
 
 class Sent(msgspec.Struct, array_like=True):
+    """One message as it is sent."""
+
     kind: str
     seq: int
     sender: str
     target: str
     news: list[Row]
-    words: list[tuple[int, float]] = []  # with kind "word": (box, change of asking in kB a second)
-    held: list[Held] = []  # a build that does not know them passes over them
+    words: list[tuple[int, float]] = []  # with kind "word": (box, change of the requested load in kB a second)
+    held: list[Held] = []  # earlier builds ignore this field
 
 
 class BadMessage(ValueError):
-    """Not ours, not whole, or not of a shape that we know."""
+    """A datagram that is not signed with a known key, is cut short or has an unknown format."""
 
 
 def seal(data, key):
+    """A datagram: marker, tag and data."""
     return MARK + hmac.new(key, MARK + data, sha256).digest()[:TAG] + data
 
 
 def sign(text, key):
-    """A tag for a request between managers."""
+    """The tag of an HTTP request between managers."""
     return hmac.new(key, MARK + text.encode(), sha256).hexdigest()
 
 
 def signed(text, tag, keys):
+    """Whether a request's tag was made with one of the keys."""
     return tag is not None and any(hmac.compare_digest(tag.encode(), sign(text, key).encode()) for key in keys)
 
 
 def opened(data, keys):
+    """The data of a datagram whose tag was made with one of the keys. BadMessage otherwise."""
     if len(data) < len(MARK) + TAG or not data.startswith(MARK):
-        raise BadMessage("no message of a member")
+        raise BadMessage("not a member message")
     tag, body = data[len(MARK) : len(MARK) + TAG], data[len(MARK) + TAG :]
     if not any(hmac.compare_digest(tag, hmac.new(key, MARK + body, sha256).digest()[:TAG]) for key in keys):
-        raise BadMessage("not signed with a key of ours")
+        raise BadMessage("not signed with a known key")
     return body
 
 
 def packed(rows):
-    """Rows for the wire, the sender's own first: of others what it is the same in stands as SAME, their digests not."""
+    """Rows as they are sent, the sender's own first. In the others values equal to its own are replaced by SAME and
+    digests are left out."""
     own, out = None, []
     for row in rows:
         if own is not None:
@@ -98,7 +106,8 @@
 
 
 def unpacked(held):
-    rows = [BoardRow(*msgspec.structs.astuple(h)) for h in held]
+    """The rows of versions.table of a message."""
+    rows = [VersionRow(*msgspec.structs.astuple(h)) for h in held]
     return tuple(
         row._replace(
             epoch=rows[0].epoch if row.epoch == SAME else row.epoch,
@@ -109,7 +118,7 @@
 
 
 def encode(message, key):
-    """The bytes of a Message; news that do not fit one datagram are left out, the first ones stay."""
+    """The bytes of a Message. Updates and rows that do not fit one datagram are left out, from the end."""
     rows = [Row(n.name, n.address, n.state.value, n.incarnation, n.boot, n.serves) for n in message.news]
     held = packed(message.held)
     while True:
@@ -124,12 +133,13 @@
             rows = rows[: max(1, len(rows) * MAX_BYTES // len(data))]
 
 
-def encode_load(sender, words, key):
-    return seal(msgspec.msgpack.encode(Sent("word", 0, sender, "", [], words)), key)
+def encode_load(sender, changes, key):
+    """The bytes of a load report. changes: [(box, change in kB a second)]."""
+    return seal(msgspec.msgpack.encode(Sent("word", 0, sender, "", [], changes)), key)
 
 
 def decode(data, keys):
-    """A Message, or ("word", sender, [(box, kB)]). BadMessage otherwise."""
+    """A Message, or ("word", sender, [(box, kB a second)]) for a load report. BadMessage otherwise."""
     try:
         sent = msgspec.msgpack.decode(opened(data, keys), type=Sent)
         news = tuple(
@@ -138,9 +148,9 @@
             if 0 <= r.state < len(STATES)
         )
     except msgspec.MsgspecError as bad:
-        raise BadMessage(f"can't be read: {bad}") from None
+        raise BadMessage(f"can't be decoded: {bad}") from None
     if sent.kind == "word":
         return "word", sent.sender, sent.words
     if sent.kind not in ("ping", "ask", "ack"):
-        raise BadMessage(f"the kind {sent.kind[:20]!r} is not known")
+        raise BadMessage(f"the kind {sent.kind[:20]!r} is unknown")
     return Message(sent.kind, sent.seq, sent.sender, sent.target, news, unpacked(sent.held))
--- a/flaxscale/versions/__init__.py
+++ b/flaxscale/versions/__init__.py
@@ -1,1 +1,1 @@
-"""Who goes by which version, who is behind, how it is brought up or shut out. Pure: I/O is handed in."""
+"""Catalogue versions across managers: which one each holds, catching up from peers, and version floors. No I/O."""
--- a/flaxscale/versions/catchup.py
+++ b/flaxscale/versions/catchup.py
@@ -1,29 +1,29 @@
-"""How a manager that is behind comes up: it asks its source again, then another manager; and who gives how much.
+"""How a manager that is behind catches up, and how much a manager sends to others that do. No I/O.
 
-No I/O. In this order: a nudge (the stream to the source is opened anew at once), and where that brings nothing within a
-while, another manager's copy. A source that comes back after an outage finds all behind at once, so that who asks
-waits a drawn while that grows with the number of those behind, and doubles it each time that it is refused; who gives
-serves a few at once and so many bytes a second. Times are tenths of a millisecond; chance by crc32.
+A manager that is behind first reopens its stream to the source (a nudge). Where that brings nothing in time it asks
+another manager for a copy. After an outage of the source all managers are behind at once, so each waits for a random
+time that grows with their number, and doubles its delay with each refusal. A manager that sends copies limits the
+concurrent transfers and the bytes a second. Times are tenths of a millisecond; random choices by crc32.
 """
 
 from typing import NamedTuple
 
 from ..chance import drawn
 
-NUDGE_AFTER = 10_000  # behind for so long: the source is asked again
-NUDGE_INTERVAL = 50_000
-ASK_PEER_AFTER = 20_000  # and for so long, another manager
-SPREAD_PER_MEMBER = 500  # of waiting, for each one that is behind
-SPREAD_MOST = 100_000
-AGAIN = 5_000  # after a copy, and the first delay after a refusal
-AGAIN_MOST = 80_000  # the longest delay after a refusal
-MAX_TRANSFERS = 2  # transfers that one manager gives at once
+NUDGE_AFTER = 10_000  # behind for so long: the stream to the source is reopened
+NUDGE_INTERVAL = 50_000  # between two nudges
+ASK_PEER_AFTER = 20_000  # behind for so long: another manager is asked
+SPREAD_PER_MEMBER = 500  # added to the range of the random wait for each member that is behind
+MAX_SPREAD = 100_000  # of the random wait
+RETRY_DELAY = 5_000  # after a copy, and the first delay after a refusal
+MAX_RETRY_DELAY = 80_000
+MAX_TRANSFERS = 2  # concurrent ones from one manager
 BYTES_PER_SECOND = 8_000_000  # sent by one manager
 BURST_BYTES = 16_000_000  # sent by one manager at once
 
 
 class Step(NamedTuple):
-    """What to do now. nudge: ask the source again. peer: name of a manager to ask, or None."""
+    """What to do now. nudge: reopen the stream to the source. peer: the name of a manager to ask, or None."""
 
     nudge: bool
     peer: str | None
@@ -33,65 +33,70 @@
 
 
 class CatchUp:
-    """One manager's. next_step() at each tick; then asked() and finished() with what became of it."""
+    """The state of one manager. next_step() is called at each tick, finished() after each request to a peer."""
 
     def __init__(self, name, seed):
         self.name, self.seed, self.draws = name, seed, 0
-        self.nudged_at, self.ask_at, self.out, self.again = None, None, None, AGAIN
-        self.refused_by = set()  # peers whose copies did not hold what they said
+        self.nudged_at, self.ask_at, self.asked_peer, self.retry_delay = None, None, None, RETRY_DELAY
+        self.bad_peers = set()  # peers that sent a bad copy; they are not asked again while behind
 
     def chance(self):
+        """A number from 0 up to 1."""
         self.draws += 1
         return drawn(b"%d:up:%s:%d" % (self.seed, self.name.encode(), self.draws))
 
     def next_step(self, now, since, behind, givers):
-        """since: when we were first behind, or None. behind: how many are. givers: names that hold the newest."""
+        """The Step to take now.
+
+        since: when this manager fell behind, or None. behind: how many members are behind. givers: names of those that
+        hold the newest version.
+        """
         if since is None:
             self.nudged_at = self.ask_at = None
-            self.again = AGAIN
-            self.refused_by.clear()
+            self.retry_delay = RETRY_DELAY
+            self.bad_peers.clear()
             return NOTHING
         nudge = now - since >= NUDGE_AFTER and (self.nudged_at is None or now - self.nudged_at >= NUDGE_INTERVAL)
         if nudge:
             self.nudged_at = now
         if self.ask_at is None:
-            self.ask_at = since + ASK_PEER_AFTER + round(self.chance() * min(SPREAD_MOST, SPREAD_PER_MEMBER * behind))
-        peer, able = None, sorted(set(givers) - self.refused_by)
-        if self.out is None and now >= self.ask_at and able:
-            self.out = peer = able[int(self.chance() * len(able))]
+            self.ask_at = since + ASK_PEER_AFTER + round(self.chance() * min(MAX_SPREAD, SPREAD_PER_MEMBER * behind))
+        peer, candidates = None, sorted(set(givers) - self.bad_peers)
+        if self.asked_peer is None and now >= self.ask_at and candidates:
+            self.asked_peer = peer = candidates[int(self.chance() * len(candidates))]
         return Step(nudge, peer)
 
     def finished(self, now, good, bad_copy=False):
-        """What became of asking a peer. bad_copy: what it gave was not what it said, or did not read."""
-        if bad_copy and self.out is not None:
-            self.refused_by.add(self.out)
-        self.out = None
+        """The result of a request to a peer. bad_copy: its copy could not be decoded or did not match its digest."""
+        if bad_copy and self.asked_peer is not None:
+            self.bad_peers.add(self.asked_peer)
+        self.asked_peer = None
         if good:
-            self.again, self.ask_at = AGAIN, now + AGAIN
+            self.retry_delay, self.ask_at = RETRY_DELAY, now + RETRY_DELAY
             return
-        self.ask_at = now + round(self.again * (0.5 + self.chance()))
-        self.again = min(AGAIN_MOST, self.again * 2)
+        self.ask_at = now + round(self.retry_delay * (0.5 + self.chance()))
+        self.retry_delay = min(MAX_RETRY_DELAY, self.retry_delay * 2)
 
 
 class TransferLimit:
-    """What a manager gives others of its own copy."""
+    """The limit on copies that one manager sends: concurrent transfers, and bytes by a token bucket."""
 
     def __init__(self, now):
-        self.out, self.left, self.at = 0, BURST_BYTES, now
+        self.running, self.tokens, self.updated_at = 0, BURST_BYTES, now
         self.given = self.refused = 0
 
     def try_begin(self, now):
-        """Whether one more transfer may begin; then done() is owed with its bytes."""
-        self.left = min(BURST_BYTES, self.left + (now - self.at) * BYTES_PER_SECOND / 10_000)
-        self.at = now
-        if self.out >= MAX_TRANSFERS or self.left <= 0:
+        """Whether one more transfer may begin. Where it may, done() must follow."""
+        self.tokens = min(BURST_BYTES, self.tokens + (now - self.updated_at) * BYTES_PER_SECOND / 10_000)
+        self.updated_at = now
+        if self.running >= MAX_TRANSFERS or self.tokens <= 0:
             self.refused += 1
             return False
-        self.out += 1
+        self.running += 1
         self.given += 1
         return True
 
     def done(self, size):
-        """A transfer is over. One may go into the debt of its own size; who comes next waits it off."""
-        self.out -= 1
-        self.left -= size
+        """A transfer of this many bytes has ended. The tokens may become negative; the next transfer waits for them."""
+        self.running -= 1
+        self.tokens -= size
--- a/flaxscale/versions/floor.py
+++ b/flaxscale/versions/floor.py
@@ -1,11 +1,11 @@
-"""Floors: the lowest version of the catalogue that may be acted on, as whoever is acted on holds it. No I/O.
+"""Floors: the lowest catalogue version under which a resource accepts an action. No I/O.
 
-A floor is only ever raised within an epoch (a life of the catalogue's store). Versions of two epochs can't be
-compared: what comes under an epoch that this holder has itself left behind is older than any floor of the one it is
-in now; what comes under one that it never heard of may be newer, and passes. While no floor stands nothing is refused.
+Within an epoch (a life of the catalogue's store) a floor only rises. Versions of two epochs can't be compared. An
+action under an epoch that this resource has left is refused once its present epoch has a floor; one under an unknown
+epoch may be newer and is accepted. Without a floor nothing is refused.
 
-The check stands where the act is done, since a manager may be stopped between its own check and its act: M. Kleppmann,
-"How to do distributed locking" (2016), with M. Burrows' sequencers (OSDI 2006, 2.4) before it.
+The resource checks, since a manager may be stopped between a check of its own and its action: M. Kleppmann, "How to do
+distributed locking" (2016), and the sequencers of M. Burrows (OSDI 2006, 2.4).
 """
 
 from typing import NamedTuple
@@ -14,18 +14,20 @@
 
 from ..store.shapes import decoded
 
-SHAPE = 1
-EARLIER = 16  # epochs left behind that are remembered
+SHAPE = 1  # number of the stored form
+MAX_EARLIER = 16  # left epochs that are remembered
 
 
 class VersionId(NamedTuple):
-    """A version of a source: its epoch and its number there."""
+    """A version of the catalogue: its epoch and its number there."""
 
     epoch: str
     version: int
 
 
 class Kept(msgspec.Struct, array_like=True):
+    """The stored form of a FloorBook."""
+
     shape: int
     epoch: str
     floor: int
@@ -33,41 +35,44 @@
 
 
 class FloorBook:
-    """One holder's. Each method that may change it says whether it did: then it is to be made durable first."""
+    """The floor of one resource. Each method that may change it returns whether it did; then dump() must be stored
+    before the resource acts on it."""
 
     def __init__(self, kept=None):
-        """kept: what dump() gave, or None. ValueError where it is neither."""
+        """kept: what dump() returned, or None. ValueError where it can't be decoded."""
         found = Kept(SHAPE, "", 0, []) if kept is None else decoded(kept, Kept, SHAPE, "floor")
         self.epoch, self.floor, self.earlier = found.epoch, found.floor, list(found.earlier)
 
     def dump(self):
+        """The bytes to store."""
         return msgspec.msgpack.encode(Kept(SHAPE, self.epoch, self.floor, self.earlier))
 
     def set_from_source(self, epoch, floor):
-        """The holder's own source says so: in another epoch than before, the earlier floor is no longer one."""
+        """Takes the floor from the resource's own source. A change of epoch replaces the earlier floor."""
         if epoch == self.epoch:
-            return self.raised(floor)
+            return self.raise_to(floor)
         if self.epoch:
-            self.earlier = [*(e for e in self.earlier if e not in (self.epoch, epoch)), self.epoch][-EARLIER:]
+            self.earlier = [*(e for e in self.earlier if e not in (self.epoch, epoch)), self.epoch][-MAX_EARLIER:]
         self.epoch, self.floor = epoch, floor
         return True
 
     def raise_from_peer(self, epoch, floor):
-        """Somebody who acts says so. It counts within the epoch that we are in, and where we are in none yet."""
+        """Takes the floor from a manager that acts here. It counts in the present epoch, or where there is none yet."""
         if not floor or epoch in self.earlier:
             return False
         if not self.epoch:
             return self.set_from_source(epoch, floor)
-        return epoch == self.epoch and self.raised(floor)
+        return epoch == self.epoch and self.raise_to(floor)
 
-    def raised(self, floor):
+    def raise_to(self, floor):
+        """Raises the floor; False where it is as high already."""
         if floor <= self.floor:
             return False
         self.floor = floor
         return True
 
     def refuses(self, acting):
-        """Whether what is done under a version is under the floor. acting: VersionId; None: not known."""
+        """Whether an action is refused. acting: the VersionId under which it is done; None: not known."""
         if not self.floor:
             return False
         if acting is None:
@@ -78,7 +83,7 @@
 
 
 class WatcherVersion(NamedTuple):
-    """A manager as the source of versions knows it. heard_ago: tenths of a millisecond; 0 while it is connected."""
+    """A manager as the catalogue's service knows it. heard_ago: tenths of a millisecond; 0 while it is connected."""
 
     name: str
     acked: int | None
@@ -86,12 +91,12 @@
 
 
 def below_floor(floor, watching):
-    """Names of those that a floor would shut out until they are up."""
+    """Names of managers that a floor would shut out until they catch up."""
     return [w.name for w in watching if w.acked is None or w.acked < floor]
 
 
 def objection(floor, settled, watching, share):
-    """Why a floor may not be raised so, or "". share: of the living, that it may shut out at most."""
+    """Why the floor may not be raised to this, or "". share: the largest share of managers that it may shut out."""
     if not 0 < floor <= settled:
         return f"there is no version {floor} yet: 1 to {settled} expected"
     under = below_floor(floor, watching)
@@ -104,8 +109,8 @@
 
 
 def automatic_floor(settled_at, now, behind, watching, share):
-    """The floor that the stated rule raises now, or None: the newest version that has been settled for `behind`, where
-    some manager has not taken it and few enough have not.
+    """The floor to set now by rule, or None: the newest version that has been durable for `behind`, where some managers
+    have not acknowledged it, but no more than `share` of them.
 
     settled_at: [(version, time)], rising; times and spans in tenths of a millisecond.
     """
--- a/flaxscale/versions/transfer.py
+++ b/flaxscale/versions/transfer.py
@@ -1,8 +1,7 @@
-"""A manager's copy of the catalogue as another hands it over: deltas or the whole, under its epoch and its digest.
+"""Copies of the catalogue that one manager sends to another: deltas or all titles, with epoch and digest. No I/O.
 
-What comes is believed only where it amounts to what it says, and to what others than its giver tell of that version
-by gossip; who can't be compared with anybody is believed on its own word only where there is no third manager.
-No I/O.
+A copy is accepted only where its content matches its digest, and the digest matches the ones that other managers report
+for that version. Without any such report a copy is accepted only where there is no third manager.
 """
 
 from collections import ChainMap
@@ -15,12 +14,12 @@
 from ..catalogue.state import Delta, Title
 from ..store.shapes import decoded
 
-SHAPE = 1
-MOST = 256 << 20  # bytes of one that are taken at all
+SHAPE = 1  # number of the encoded form
+MAX_BYTES = 256 << 20  # of one copy
 
 
 class Refused(ValueError):
-    """Not taken on, by name of what is wrong. bad_copy: its giver is not asked again."""
+    """A copy that is not accepted, and why. bad_copy: its sender is at fault and is not asked again."""
 
     def __init__(self, why, bad_copy=True):
         super().__init__(why)
@@ -28,6 +27,8 @@
 
 
 class Change(msgspec.Struct, array_like=True):
+    """One Delta of the catalogue."""
+
     version: int
     titles: list[Title]
     dropped: list[str]
@@ -35,7 +36,7 @@
 
 
 class Handed(msgspec.Struct, array_like=True):
-    """whole: all titles at `version`; else changes are those after what was asked from."""
+    """A copy. whole: all titles at `version`, or None where `changes` lead there from the requested version."""
 
     shape: int
     giver: str
@@ -48,14 +49,14 @@
 
 
 class PeerDigests(NamedTuple):
-    """What others than its giver say that a version amounts to."""
+    """The digests that managers other than the sender report for a version."""
 
     digests: dict  # {name: digest}
-    others: bool  # whether there are others who could say so
+    others: bool  # whether there are managers that could report one
 
 
 class Head(msgspec.Struct, array_like=True):
-    """As Handed begins."""
+    """The first fields of Handed."""
 
     shape: int
     giver: str
@@ -64,9 +65,9 @@
 
 
 def encode_changes(giver, follower, recent, epoch, since):
-    """The bytes for one who holds version `since` of an epoch, or None where only the whole can help.
+    """The bytes for a manager at version `since` of an epoch, or None where it needs a whole copy.
 
-    recent: the last Deltas that the giver took, rising.
+    recent: the last Deltas that the sender applied, rising.
     """
     if epoch != follower.epoch or not 0 <= since <= (follower.version or 0):
         return None
@@ -96,10 +97,10 @@
 
 
 def encode_whole(giver, follower, slice):
-    """The bytes of a whole copy, in parts of so many titles, as of the first of them."""
+    """Yields the bytes of a whole copy in parts of `slice` titles, all of the version at the first part."""
     f, titles = follower, list(follower.titles.values())
     head = msgspec.msgpack.encode([SHAPE, giver, f.epoch, f.version, f.floor, f.sum])
-    # An array of eight with an array of so many titles in it, put together from its slices, and no changes.
+    # msgpack: an array of eight, with an array of all titles that is assembled from its slices, and no changes.
     yield b"\x98" + head[1:] + b"\xdd" + len(titles).to_bytes(4, "big")
     for n in range(0, len(titles), slice):
         yield b"".join(msgspec.msgpack.encode(t) for t in titles[n : n + slice])
@@ -107,38 +108,38 @@
 
 
 def version_of(data):
-    """The version that a copy says it is. Refused where it says none."""
+    """The version that a copy states. Refused where it can't be decoded."""
     try:
         return msgspec.msgpack.decode(data, type=Head).version
     except msgspec.MsgspecError as bad:
-        raise Refused(f"no copy of a catalogue: {bad}") from None
+        raise Refused(f"not a copy of a catalogue: {bad}") from None
 
 
-def verify(data, follower, wanted, told):
-    """(epoch, messages for the follower) of what a giver handed over. Refused otherwise.
+def verify(data, follower, wanted, reported):
+    """(epoch, messages for the follower) of a copy that is accepted. Refused otherwise.
 
-    wanted: the epoch that is to be brought up to. told: PeerDigests.
+    wanted: the epoch to catch up with. reported: PeerDigests.
     """
-    if len(data) > MOST:
-        raise Refused(f"{len(data)} bytes, {MOST} at most")
+    if len(data) > MAX_BYTES:
+        raise Refused(f"{len(data)} bytes, {MAX_BYTES} at most")
     try:
         found = decoded(data, Handed, SHAPE, "copy of a catalogue")
     except ValueError as bad:
         raise Refused(str(bad)) from None
     if found.epoch != wanted:
-        raise Refused(f"epoch {found.epoch[:20]!r} where {wanted!r} is in force", bad_copy=False)
+        raise Refused(f"epoch {found.epoch[:20]!r}, but {wanted!r} is in force", bad_copy=False)
     if found.epoch == follower.epoch and found.version <= (follower.version or 0):
-        raise Refused(f"version {found.version}, no newer than ours", bad_copy=False)
-    if any(total != found.digest for total in told.digests.values()):
-        raise Refused(f"version {found.version} with a digest that {', '.join(sorted(told.digests))} tell otherwise")
-    if not told.digests and told.others:
-        raise Refused(f"version {found.version}, which nobody else tells yet", bad_copy=False)
+        raise Refused(f"version {found.version} is not newer than the present one", bad_copy=False)
+    if any(total != found.digest for total in reported.digests.values()):
+        raise Refused(f"version {found.version}: digest differs from what {', '.join(sorted(reported.digests))} report")
+    if not reported.digests and reported.others:
+        raise Refused(f"version {found.version} is not reported by any other manager yet", bad_copy=False)
     if found.whole is not None:
         if digest.of(found.whole) != found.digest:
-            raise Refused(f"titles of version {found.version} that do not amount to its digest")
+            raise Refused(f"titles of version {found.version} do not match its digest")
         return found.epoch, [Whole(found.version, tuple(found.whole), True, True, found.floor)]
     if found.epoch != follower.epoch:
-        raise Refused("changes of an epoch that we don't hold", bad_copy=False)
+        raise Refused("changes of another epoch than the present one", bad_copy=False)
     total, at, titles, out = follower.sum, follower.version, ChainMap({}, follower.titles), []
     for change in found.changes:
         if change.version != at + 1:
@@ -150,5 +151,5 @@
         titles.update(delta.titles)
         out.append(delta)
     if at != found.version or total != found.digest:
-        raise Refused(f"changes that amount to version {at} and not to the digest of {found.version}")
+        raise Refused(f"changes lead to version {at}, and do not match the digest of version {found.version}")
     return found.epoch, out
--- a/tests/test_inhand.py
+++ b/tests/test_inhand.py
@@ -534,7 +534,7 @@
             await self.until(m, lambda s: s["members"]["members"]["m0"]["state"] == "alive")
         for m in range(3):  # said again, anywhere: the newcomer stays
             said = await self.order(m, "m0", life)
-            self.assertEqual((200, "m0 has begun anew since"), (said.status, json.loads(said.body)["over"]))
+            self.assertEqual((200, "m0 has restarted since"), (said.status, json.loads(said.body)["over"]))
         self.assertEqual(307, (await self.order(2, "m1", "")).status)
         self.assertEqual(404, (await self.order(2, "m9", "")).status)
         self.assertEqual("m0", (await self.get(0))["manager"])
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Membership and take-over without sockets: simulated losses, all interleavings of small cases, seeded bugs found."""
+"""Membership and takeover without sockets: simulated loss, all interleavings of small cases, and planted bugs."""
 
 import collections
 import random
@@ -28,7 +28,7 @@
 
 
 class Membership(unittest.TestCase):
-    def test_all_find_each_other_and_one_that_dies_is_dead_to_all(self):
+    def test_all_members_find_each_other_and_all_detect_a_death(self):
         world = SwimWorld(5)
         world.run(6 * PERIOD)
         self.assertTrue(all(len(world.alive(n)) == 5 for n in world.names))
@@ -37,14 +37,14 @@
         self.assertEqual({"dead"}, {world.state(n, "m3") for n in world.names if n != "m3"})
         self.assertEqual(0, world.false_deaths)
 
-    def test_loss_alone_kills_nobody(self):
+    def test_loss_alone_causes_no_false_deaths(self):
         for share in (0.05, 0.3):
             world = SwimWorld(8, loss=share, seed=4)
             world.run(150 * PERIOD)
             self.assertLessEqual(world.false_deaths, 0 if share < 0.1 else 4, share)
             self.assertTrue(all(len(world.alive(n)) >= 7 for n in world.names))
 
-    def test_one_that_stood_still_comes_back_and_calls_nobody_dead(self):
+    def test_a_stalled_member_returns_and_declares_no_other_dead(self):
         world = SwimWorld(5)
         world.run(6 * PERIOD)
         world.stall("m1", 20 * PERIOD)
@@ -55,7 +55,7 @@
         self.assertEqual([], [c for who, c in world.changes if who == "m1" and c.state is State.DEAD])
         self.assertGreater(world.swims["m1"].stalls, 0)
 
-    def test_two_halves_that_call_each_other_dead_are_one_again(self):
+    def test_two_partitions_that_declare_each_other_dead_merge_again(self):
         world = SwimWorld(6)
         world.run(6 * PERIOD)
         world.cut = {frozenset(pair) for pair in ((a, b) for a in ("m0", "m1", "m2") for b in ("m3", "m4", "m5"))}
@@ -66,7 +66,7 @@
         world.run(60 * PERIOD)
         self.assertTrue(all(len(world.alive(n)) == 6 for n in world.names), [world.alive(n) for n in world.names])
 
-    def test_who_leaves_is_gone_at_once_and_another_start_is_taken_for_alive(self):
+    def test_a_leaving_member_is_gone_at_once_and_a_restarted_one_is_alive(self):
         world = SwimWorld(4)
         world.run(6 * PERIOD)
         world.leave("m2")
@@ -76,12 +76,12 @@
         world.run(20 * PERIOD)
         self.assertTrue(all(len(world.alive(n)) == 4 for n in world.names))
         world.crash("m1")
-        world.start("m1")  # so fast that nobody called it dead: another start all the same
+        world.start("m1")  # restarted before anyone declared it dead
         world.run(20 * PERIOD)
         boots = {world.swims[n].members["m1"].boot for n in ("m0", "m2", "m3")}
         self.assertEqual({world.swims["m1"].me.boot}, boots)
 
-    def test_old_news_do_not_bring_back_the_dead(self):
+    def test_old_updates_do_not_revive_the_dead(self):
         swim = Swim("a", "1:1", "x", 1, 0)
         swim.apply_update(Update("b", "1:2", State.ALIVE, 3, "x"), 0)
         swim.apply_update(Update("b", "1:2", State.DEAD, 3, "x"), 0)
@@ -108,7 +108,7 @@
         st.randoms(),
     )
     @settings(deadline=None)
-    def test_news_of_one_start_end_alike_in_any_order(self, rows, draw):
+    def test_updates_of_one_start_converge_in_any_order(self, rows, draw):
         rows = [Update(name, "1:1", state, n, "x") for name, state, n, _ in rows]
         ends = []
         for _ in range(3):
@@ -119,7 +119,7 @@
             draw.shuffle(rows)
         self.assertEqual([ends[0]] * 3, ends)
 
-    def test_a_message_carries_a_bounded_number_of_news(self):
+    def test_a_message_carries_a_bounded_number_of_updates(self):
         swim = Swim("a", "1:0", "x", 1, 0)
         for n in range(300):
             swim.apply_update(Update(f"m{n}", "127.0.0.1:40000", State.ALIVE, 0, "12345678", "127.0.0.1:50000"), 0)
@@ -129,9 +129,10 @@
         self.assertLessEqual(len(wire.encode(message, b"k")), wire.MAX_BYTES)
         self.assertLessEqual(len(wire.encode(swim.message("ack", 1, "a", whole=True), b"k")), wire.MAX_BYTES)
 
-    def test_many_dead_at_once_and_a_cut_to_a_living_one_hold_no_death_up(self):
-        # Probes of the dead were taken for loss on our own ways, which makes suspicions last longer: seven dead of ten
-        # were known after 8 to 10 s, and a third one's death to two that can't reach each other after 9 s.
+    def test_many_deaths_at_once_or_a_cut_path_delay_no_detection(self):
+        # Unanswered probes of dead members were counted as loss of our own probes, which lengthens suspicions: seven
+        # deaths of ten were detected after 8 to 10 s, and the death of a third member after 9 s by two that can't reach
+        # each other.
         for dead, seed in ((7, 1), (7, 2), (3, 3)):
             world = SwimWorld(10, 0.0, seed)
             world.run(40 * PERIOD)
@@ -150,18 +151,20 @@
         world.run(6 * PERIOD)
         self.assertLessEqual({("m1", "m0"), ("m2", "m0")}, set(world.heard_of))
 
-    def test_a_hundred_members_that_lose_a_third_of_what_they_send_take_each_other_for_living(self):
-        # What refutes a suspicion stood behind the suspicions in every message, and of 100 members each hears another
-        # itself once in minutes only, so that none knew of the loss: 7,919 times a living one was called dead here.
+    def test_a_hundred_members_at_30_percent_loss_declare_few_of_each_other_dead(self):
+        # Refutations ranked behind the suspicions in every message, and each of 100 members hears another directly only
+        # once in minutes, so that none measured the loss: 7,919 times a living member was declared dead here.
         world = SwimWorld(100, 0.3, 1)
         world.run(30 * PERIOD)
         self.assertLess(world.false_deaths, 30)
         self.assertGreater(sum(swim.probe_loss for swim in world.swims.values()) / 100, 0.3)
 
-    def test_loss_of_our_own_ways_is_known_by_those_that_live(self):
+    def test_loss_of_own_probes_is_measured_by_living_members(self):
         world = SwimWorld(5, 0.3, 4)
         world.run(60 * PERIOD)
-        lost = [swim.probe_loss for swim in world.swims.values()]  # of a probe and its answer, 0.51 of them one
+        lost = [
+            swim.probe_loss for swim in world.swims.values()
+        ]  # 0.51: at least one of a probe and its answer is lost
         self.assertAlmostEqual(0.51, sum(lost) / 5, delta=0.2)
         self.assertEqual(0, world.false_deaths)
 
@@ -170,7 +173,7 @@
     def message(self):
         return Swim("a", "1:0", "x", 1, 0).message("ping", 7, "b")
 
-    def test_keys_change_one_manager_at_a_time(self):
+    def test_keys_are_replaced_one_manager_at_a_time(self):
         data = wire.encode(self.message(), b"old")
         self.assertEqual(self.message(), wire.decode(data, [b"new", b"old"]))
         with self.assertRaisesRegex(wire.BadMessage, "not signed"):
@@ -189,7 +192,7 @@
                 wire.decode(data[:n], [b"k"])
 
     @given(st.binary(max_size=200))
-    def test_signed_nonsense_is_refused_too(self, body):
+    def test_signed_random_bytes_are_refused(self, body):
         try:
             wire.decode(wire.seal(body, b"k"), [b"k"])
         except wire.BadMessage:
@@ -197,7 +200,7 @@
 
 
 class TakeOver(unittest.TestCase):
-    def test_a_death_moves_only_what_the_dead_one_had_and_spreads_it(self):
+    def test_a_death_moves_only_the_sessions_of_the_dead_manager_and_spreads_them(self):
         names, managers = [f"v{n}" for n in range(3000)], [f"m{n}" for n in range(6)]
         before = {v: assigned_manager(v, managers) for v in names}
         after = {v: assigned_manager(v, [m for m in managers if m != "m2"]) for v in names}
@@ -215,24 +218,26 @@
         self.assertEqual({f"k{n}" for n in range(1, 40, 2)}, {k for p in plans.values() for k in p.ends})
         self.assertEqual(((), (), None), plan_claims([Session("k", "m9", 0, "v", True)], "m1", "m0", ["m0"]))
 
-    def test_what_one_leaves_unclaimed_is_the_next_ones_in_the_order(self):
+    def test_unclaimed_sessions_go_to_the_next_manager_in_the_order(self):
         sessions, alive = [Session(f"k{n}", "m1", 0, f"v{n}", True) for n in range(40)], ["m0", "m2", "m3"]
         for me in alive:
             first, second, third = (plan_claims(sessions, "m1", me, alive, rank) for rank in (1, 2, 3))
             self.assertEqual([2, 3, None], [first.next, second.next, third.next])
             self.assertLess(set(first.claims), set(second.claims))
             self.assertEqual(40, len(third.claims))
-            # Without one of the others it is the first of what was that one's and its own second.
+            # Without one of the others it ranks first for that one's sessions for which it ranked second.
             without = plan_claims(sessions, "m1", me, [m for m in alive if m != "m3" or m == me])
             self.assertLessEqual(set(first.claims), set(without.claims))
             self.assertLessEqual(set(without.claims), set(second.claims))
-        self.assertEqual(((), (), None), plan_claims(sessions, "m1", "m9", alive, 3))  # it takes nothing: it is full
+        self.assertEqual(
+            ((), (), None), plan_claims(sessions, "m1", "m9", alive, 3)
+        )  # it is not in the list, as when it is at capacity
 
-    def test_whoever_asks_in_vain_is_sent_on_and_never_in_a_circle(self):
+    def test_a_client_is_redirected_without_cycles(self):
         alive, name = [f"m{n}" for n in range(9)], "m3.7-x"
         order = sorted(alive, key=lambda m: assignment_rank(name, alive, m))
         self.assertEqual("m3", next_manager(name, "m0", alive, None, []))
-        self.assertEqual("m5", next_manager(name, "m3", alive, "m5", []))  # whom a box named goes first
+        self.assertEqual("m5", next_manager(name, "m3", alive, "m5", []))  # the owner that a box named goes first
         left = [m for m in alive if m != "m3"]
         first = [m for m in order if m != "m3"]
         asked, me = [], first[5]
@@ -243,38 +248,40 @@
         self.assertEqual(first[2], me)
         self.assertIsNone(next_manager("m0.1-x", "m0", ["m0"], None, []))
 
-    def test_claims_go_by_a_ration_and_within_what_may_be_held(self):
-        ration = ClaimRateLimit(0)
-        self.assertEqual([CLAIM_BURST, 0], [ration.take(0, 500, 500) for _ in range(2)])
-        self.assertEqual(20, ration.take(100, 500, 500))  # 2,000 a second
-        self.assertEqual([3, 0, 0], [ration.take(10_000, 500, room) for room in (3, 0, -4)])
+    def test_claims_are_limited_by_rate_and_by_the_session_limit(self):
+        limit = ClaimRateLimit(0)
+        self.assertEqual([CLAIM_BURST, 0], [limit.take(0, 500, 500) for _ in range(2)])
+        self.assertEqual(20, limit.take(100, 500, 500))  # 2,000 a second
+        self.assertEqual([3, 0, 0], [limit.take(10_000, 500, room) for room in (3, 0, -4)])
         self.assertEqual(
             [False, True, True], [at_capacity(94, 100, False), at_capacity(95, 100, False), at_capacity(0, 100, True)]
         )
 
-    def test_what_a_ration_leaves_comes_in_a_moment_and_only_silence_counts_against_the_tries(self):
-        # With 16 askings for whatever was left, a manager took 8,000 of a dead one's and forgot the rest.
-        course = ClaimRetry()
-        self.assertEqual([RETRY_DELAY] * 100, [course.answered(1) for _ in range(100)])
+    def test_claims_deferred_by_the_rate_limit_are_retried_and_only_silence_counts_as_failure(self):
+        # With 16 requests in all, a manager claimed 8,000 sessions of a dead one and left the rest.
+        retry = ClaimRetry()
+        self.assertEqual([RETRY_DELAY] * 100, [retry.answered(1) for _ in range(100)])
         self.assertEqual(
-            [RANK_DELAY, RETRY_DELAY, 2 * RANK_DELAY, None], [course.answered(rank) for rank in (2, 2, 4, None)]
+            [RANK_DELAY, RETRY_DELAY, 2 * RANK_DELAY, None], [retry.answered(rank) for rank in (2, 2, 4, None)]
         )
-        silent = [course.failed() for _ in range(MAX_FAILURES)]
+        silent = [retry.failed() for _ in range(MAX_FAILURES)]
         self.assertEqual([RETRY_DELAY] * (MAX_FAILURES - 1) + [None], silent)
 
-    def test_look_ups_go_so_many_at_a_time_and_worth_first(self):
-        looks = LookupQueue(2)
+    def test_lookups_are_limited_and_ordered_by_value(self):
+        lookups = LookupQueue(2)
         self.assertEqual(
-            [True, True, False, False, False], [looks.enter(n, worth) for n, worth in enumerate((1, 1, 1, 5, 3))]
+            [True, True, False, False, False], [lookups.enter(n, value) for n, value in enumerate((1, 1, 1, 5, 3))]
         )
-        self.assertEqual([3, None, 2, None, None], [looks.leave(n) for n in (0, 4, 1, 3, 2)])  # 4 left as it waited
-        self.assertTrue(looks.enter(9, 0))
+        self.assertEqual(
+            [3, None, 2, None, None], [lookups.leave(n) for n in (0, 4, 1, 3, 2)]
+        )  # 4 left while it waited
+        self.assertTrue(lookups.enter(9, 0))
 
-    def test_an_order_is_for_one_life_and_said_again_anywhere_it_is_done_once(self):
+    def test_a_drain_request_names_one_life_and_is_carried_out_once(self):
         def other(state, life="b1"):
             return Member(Update("m1", "1:1", state, 0, life, "1:80"), 0)
 
-        told = {
+        answers = {
             "m0 itself": drain_requests.resolve("m0", "a", "m0", "a", False, None),
             "nobody named": drain_requests.resolve("", "", "m0", "a", False, None),
             "leaving": drain_requests.resolve("m0", "a", "m0", "a", True, None),
@@ -283,7 +290,7 @@
             "suspect": drain_requests.resolve("m1", "", "m0", "a", False, other(State.SUSPECT)),
             "left": drain_requests.resolve("m1", "b1", "m0", "a", False, other(State.LEFT)),
             "dead": drain_requests.resolve("m1", "b1", "m0", "a", False, other(State.DEAD)),
-            "begun anew": drain_requests.resolve("m1", "b1", "m0", "a", False, other(State.ALIVE, "b2")),
+            "restarted": drain_requests.resolve("m1", "b1", "m0", "a", False, other(State.ALIVE, "b2")),
             "not known": drain_requests.resolve("m7", "x", "m0", "a", False, None),
         }
         self.assertEqual(
@@ -291,36 +298,36 @@
                 "m0 itself": drain_requests.DrainSelf(False),
                 "nobody named": drain_requests.DrainSelf(False),
                 "leaving": drain_requests.DrainSelf(True),
-                "a later life": drain_requests.LifeEnded("m0 has begun anew since"),
+                "a later life": drain_requests.LifeEnded("m0 has restarted since"),
                 "alive": drain_requests.Forward("1:80"),
                 "suspect": drain_requests.Forward("1:80"),
                 "left": drain_requests.LifeEnded("m1 has left"),
                 "dead": drain_requests.LifeEnded("m1 is dead"),
-                "begun anew": drain_requests.LifeEnded("m1 has begun anew since"),
+                "restarted": drain_requests.LifeEnded("m1 has restarted since"),
                 "not known": drain_requests.UnknownManager(),
             },
-            told,
+            answers,
         )
 
-    def test_a_mass_death_with_much_in_hand_is_taken_up_whole_and_once(self):
+    def test_all_sessions_of_many_dead_managers_are_taken_over_once(self):
         for dead in (1, 3, 7):
-            came = loss(10, dead, 6_000, 20, seed=dead, loss=0.05)
-            self.assertEqual((600 * dead, 600 * dead, 0, 0), came[:4])
-            # No faster than the ration, all who live together.
+            result = loss(10, dead, 6_000, 20, seed=dead, loss=0.05)
+            self.assertEqual((600 * dead, 600 * dead, 0, 0), result[:4])
+            # All living managers together are no faster than the rate limit.
             self.assertGreater(
-                came.all_s - came.known_s + 3.0, (600 * dead / (10 - dead) - CLAIM_BURST) / CLAIMS_PER_SECOND
+                result.all_s - result.known_s + 3.0, (600 * dead / (10 - dead) - CLAIM_BURST) / CLAIMS_PER_SECOND
             )
         self.assertEqual(loss(5, 2, 500, 6, 3), loss(5, 2, 500, 6, 3))
-        self.assertGreater(loss(10, 7, 6_000, 20, lease_ms=4_000).lost, 0)  # a lease that is too short is seen
+        self.assertGreater(loss(10, 7, 6_000, 20, lease_ms=4_000).lost, 0)  # a lease that is too short loses sessions
 
     def test_a_fence_grants_an_epoch_once(self):
         fence = Fence()
         fence.begin("k", "m1")
         self.assertTrue(fence.accepts("k", 0, "m1"))
         self.assertTrue(fence.claim("k", 1, "m2"))
-        self.assertTrue(fence.claim("k", 1, "m2"))  # said again: its answer was lost
+        self.assertTrue(fence.claim("k", 1, "m2"))  # repeated: its answer was lost
         self.assertFalse(fence.claim("k", 1, "m3"))
-        self.assertFalse(fence.claim("k", 5, "m3"))  # an epoch that it never saw here
+        self.assertFalse(fence.claim("k", 5, "m3"))  # not the next epoch
         self.assertFalse(fence.accepts("k", 0, "m1"))
         self.assertTrue(fence.accepts("k", 1, "m2"))
         self.assertFalse(fence.claim("none", 1, "m2"))
@@ -329,7 +336,7 @@
 
 
 class Interleavings(unittest.TestCase):
-    """Every order of the steps of take-over in small cases; a broken invariant prints the shortest trace."""
+    """All orders of the steps of takeover in small cases; a broken invariant prints the shortest trace."""
 
     def test_no_order_breaks_an_invariant_with_three_managers_and_two_viewings(self):
         for keys, opinions in ((("v", "w"), 2), (("v",), 3)):
@@ -337,21 +344,21 @@
             self.assertIsNone(found.trace, "\n".join(found.trace or ()))
             self.assertGreater(found.states, 10_000)
 
-    def test_seeded_bugs_are_found_with_a_short_trace(self):
+    def test_planted_bugs_are_found_with_a_short_trace(self):
         for bug, said in (("claims without epochs", "two managers hold"), ("orders are not fenced", "ended by")):
             found = explore(bug, keys=("v",), opinions=3)
             self.assertIsNotNone(found.trace, bug)
             self.assertIn(said, found.trace[-1])
             self.assertLessEqual(len(found.trace), 9, found.trace)
 
-    def test_long_random_courses_keep_the_invariants(self):
+    def test_long_random_runs_keep_the_invariants(self):
         for seed in range(40):
             trace = wander(random.Random(seed).choice, 300)
             self.assertIsNone(trace, "\n".join(trace or ()))
 
 
 class Clock(unittest.TestCase):
-    def test_a_tick_that_is_late_judges_nobody(self):
+    def test_a_late_tick_suspects_nobody(self):
         swim = Swim("a", "1:0", "x", 1, 0)
         swim.apply_update(Update("b", "1:1", State.ALIVE, 0, "x"), 0)
         swim.tick(0)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -1,4 +1,4 @@
-"""Floors, who is behind, bringing up and copies handed over: the pure parts, and one manager's sockets."""
+"""Version floors, stragglers, catching up and transferred copies, without sockets; attempts and pending releases."""
 
 import tempfile
 import unittest
@@ -38,28 +38,28 @@
 
 
 class Floors(unittest.TestCase):
-    def test_it_rises_only_and_holds_through_a_start(self):
+    def test_a_floor_only_rises_and_survives_a_restart(self):
         book = FloorBook()
-        self.assertFalse(book.refuses(None))  # none stands: nothing is refused
+        self.assertFalse(book.refuses(None))  # without a floor nothing is refused
         self.assertTrue(book.set_from_source("a", 0))
         self.assertFalse(book.refuses(VersionId("a", 0)))
         self.assertTrue(book.set_from_source("a", 5))
         self.assertFalse(book.raise_from_peer("a", 4))
-        self.assertTrue(book.raise_from_peer("a", 7))  # by a manager that knows more than our source told us
+        self.assertTrue(book.raise_from_peer("a", 7))  # from a manager that knows a higher one than the source sent
         book = FloorBook(book.dump())
         self.assertEqual(
             [True, False, True, False],
             [book.refuses(at) for at in (VersionId("a", 6), VersionId("a", 7), None, VersionId("newer", 1))],
         )
-        book.set_from_source("b", 0)  # the source was put back: an epoch of its own, no floor yet
+        book.set_from_source("b", 0)  # the source was restored: a new epoch without a floor
         self.assertEqual([False, False], [book.refuses(VersionId("a", 6)), book.refuses(VersionId("b", 1))])
         book.set_from_source("b", 2)
         self.assertEqual([True, True, False], [book.refuses(VersionId(*at)) for at in (("a", 99), ("b", 1), ("b", 2))])
-        self.assertFalse(book.raise_from_peer("a", 99))  # of an epoch that is over
+        self.assertFalse(book.raise_from_peer("a", 99))  # of an epoch that was left
         with self.assertRaises(ValueError):
             FloorBook(b"x")
 
-    def test_who_may_raise_it_and_when_the_rule_does(self):
+    def test_when_a_floor_may_be_raised_by_hand_and_by_rule(self):
         fleet = [WatcherVersion("m0", 9, 0), WatcherVersion("m1", 9, 0), WatcherVersion("m2", 4, 100)]
         self.assertEqual("", objection(9, 9, fleet, 0.34))
         self.assertIn("shut out 1 of 3 managers (m2)", objection(9, 9, fleet, 0.3))
@@ -68,9 +68,9 @@
         times = [(4, 0), (8, 50), (9, 100)]
         self.assertEqual([None, 8, 9], [automatic_floor(times, at, 60, fleet, 0.34) for at in (105, 115, 160)])
         self.assertEqual(None, automatic_floor(times, 160, 60, [WatcherVersion("m0", 9, 0)], 0.34))  # nobody is behind
-        self.assertEqual(None, automatic_floor(times, 160, 60, fleet[1:], 0.34))  # half of them would be out
+        self.assertEqual(None, automatic_floor(times, 160, 60, fleet[1:], 0.34))  # half of them would be shut out
 
-    def test_a_floor_is_a_version_durable_and_spread_as_one(self):
+    def test_a_floor_is_stored_and_sent_as_a_version(self):
         files = FaultyFiles()
         keeper = Keeper(files, FRAME)
         keeper.stage([Put("one", "clip", holders={"1": HOLDING})])
@@ -81,7 +81,7 @@
             with self.assertRaises(ValueError):
                 keeper.stage_floor(bad)
         self.assertEqual(Delta(2, {}, 1), keeper.stage_floor(1))
-        self.assertIsNone(watcher.next(keeper))  # not told before it is durable
+        self.assertIsNone(watcher.next(keeper))  # not sent before it is durable
         keeper.settle()
         self.assertEqual({}, follower.delta("e", watcher.next(keeper)))
         self.assertEqual((2, 1), (follower.version, follower.floor))
@@ -95,7 +95,7 @@
 class Digests(unittest.TestCase):
     @given(st.lists(st.tuples(st.sampled_from("abcd"), st.one_of(st.none(), st.integers(1, 5))), max_size=30))
     @settings(max_examples=100, deadline=None)
-    def test_changes_one_by_one_amount_to_the_whole(self, changes):
+    def test_the_digest_after_changes_equals_the_digest_of_all_titles(self, changes):
         follower, titles = Follower(), {}
         follower.load("e", 0, {})
         for n, (name, box) in enumerate(changes):
@@ -106,75 +106,75 @@
 
 
 class Behind(unittest.TestCase):
-    def boards(self):
-        boards = {name: VersionTable(name, f"life-{name}") for name in ("m0", "m1", "m2", "m3")}
-        for name, board in boards.items():
-            board.update_own(epoch="e", version=5, digest=1, settings="s", up=True)
-        return boards
-
-    def tell(self, boards, now, only=()):
-        for sender in only or boards:
-            for hearer in boards:
+    def tables(self):
+        tables = {name: VersionTable(name, f"life-{name}") for name in ("m0", "m1", "m2", "m3")}
+        for name, table in tables.items():
+            table.update_own(epoch="e", version=5, digest=1, settings="s", up=True)
+        return tables
+
+    def tell(self, tables, now, only=()):
+        for sender in only or tables:
+            for hearer in tables:
                 if hearer != sender:
-                    for row in boards[sender].rows_to_send(4):
-                        boards[hearer].receive(row, sender, lambda name: f"life-{name}", now)
+                    for row in tables[sender].rows_to_send(4):
+                        tables[hearer].receive(row, sender, lambda name: f"life-{name}", now)
 
-    def test_who_is_behind_since_when_and_why(self):
-        boards, all_of = self.boards(), ["m0", "m1", "m2", "m3"]
+    def test_stragglers_are_named_with_reason_and_time(self):
+        tables, all_of = self.tables(), ["m0", "m1", "m2", "m3"]
 
-        def found(now, suspects=(), who=boards):
+        def found(now, suspects=(), who=tables):
             return [
-                sorted((s.name, s.why, s.since) for s in boards[name].stragglers(all_of, suspects, 30_000, now))
+                sorted((s.name, s.why, s.since) for s in tables[name].stragglers(all_of, suspects, 30_000, now))
                 for name in who
             ]
 
-        self.tell(boards, 10)
+        self.tell(tables, 10)
         self.assertEqual([[]] * 4, found(10))
         for name in ("m0", "m1", "m2"):
-            boards[name].update_own(version=6)
-        boards["m3"].update_own(up=False)
-        boards["m2"].update_own(settings="other", refused=7)
-        self.tell(boards, 20)
-        self.assertEqual([[]] * 4, found(20))  # not for long yet
-        self.assertEqual({VersionId("e", 6)}, {board.newest(all_of) for board in boards.values()})
+            tables[name].update_own(version=6)
+        tables["m3"].update_own(up=False)
+        tables["m2"].update_own(settings="other", refused=7)
+        self.tell(tables, 20)
+        self.assertEqual([[]] * 4, found(20))  # not for long enough yet
+        self.assertEqual({VersionId("e", 6)}, {table.newest(all_of) for table in tables.values()})
         self.assertEqual([[("m2", "refuses", 20)]] * 3 + [[("m2", "refuses", 20), ("m3", "behind", 20)]], found(30_020))
-        self.tell(boards, 30_030, only=["m3"])  # it knows it, and says so
+        self.tell(tables, 30_030, only=["m3"])  # it knows of the newer version, and reports itself as behind
         self.assertEqual([[("m2", "refuses", 20), ("m3", "behind", 20)]] * 4, found(30_030))
-        # Versions that come faster than rows do: whoever moves on is not behind.
-        boards["m2"].update_own(refused=0)
-        boards["m3"].update_own(version=6)
+        # Versions change faster than rows arrive: a member that follows is not behind.
+        tables["m2"].update_own(refused=0)
+        tables["m3"].update_own(version=6)
         for n, now in enumerate(range(30_040, 130_040, 5_000), 7):
-            boards["m0"].update_own(version=n)
-            self.tell(boards, now)
+            tables["m0"].update_own(version=n)
+            self.tell(tables, now)
             for name in ("m1", "m2", "m3"):
-                boards[name].update_own(version=n)
+                tables[name].update_own(version=n)
             self.assertEqual([], [row for row in found(now)[0] if row[1] == "behind"])
         self.assertEqual([("m1", "unheard"), ("m2", "settings")], [row[:2] for row in found(130_040, ["m1"])[0]])
 
-    def test_one_that_hears_nothing_but_talks_is_known_by_what_it_tells_itself(self):
-        boards, all_of = self.boards(), ["m0", "m1"]
-        boards["m0"].update_own(version=6)
-        boards["m0"].refresh(all_of, 10)
+    def test_a_member_that_sends_but_does_not_receive_is_found_by_its_own_rows(self):
+        tables, all_of = self.tables(), ["m0", "m1"]
+        tables["m0"].update_own(version=6)
+        tables["m0"].refresh(all_of, 10)
         for now in (20, 40_000):
-            boards["m0"].receive(boards["m1"].me, "m1", lambda name: "life-m1", now)
+            tables["m0"].receive(tables["m1"].me, "m1", lambda name: "life-m1", now)
             self.assertEqual(
                 [] if now == 20 else [("m1", "behind", 10)],
-                [(s.name, s.why, s.since) for s in boards["m0"].stragglers(all_of, [], 30_000, now)],
+                [(s.name, s.why, s.since) for s in tables["m0"].stragglers(all_of, [], 30_000, now)],
             )
 
-    def test_an_earlier_life_is_not_told_on_and_a_source_put_back_is_right_about_its_epoch(self):
-        board = self.boards()["m0"]
+    def test_rows_of_an_earlier_life_are_dropped_and_a_restored_source_sets_the_epoch(self):
+        table = self.tables()["m0"]
         old = Row("m1", "before", 40, "e", 9, 0, 0, 0, "s", True, 0)
-        board.receive(old, "m2", lambda name: "life-m1", 1)
-        self.assertEqual({}, board.rows)
-        board.receive(old._replace(boot="life-m1", count=2, epoch="f", version=3), "m1", lambda name: None, 2)
-        self.assertEqual(VersionId("e", 5), board.newest(["m0", "m1"]))  # one says this, one that: our own
-        board.update_own(up=False)
-        self.assertEqual(VersionId("f", 3), board.newest(["m0", "m1"]))  # who hears the source knows the epoch
-        board.receive(old._replace(boot="life-m1", count=1, epoch="g"), "m1", lambda name: None, 3)
-        self.assertEqual("f", board.rows["m1"].epoch)  # told late
-
-    def test_rows_ride_on_messages_of_a_bounded_size_and_an_older_build_passes_over_them(self):
+        table.receive(old, "m2", lambda name: "life-m1", 1)
+        self.assertEqual({}, table.rows)
+        table.receive(old._replace(boot="life-m1", count=2, epoch="f", version=3), "m1", lambda name: None, 2)
+        self.assertEqual(VersionId("e", 5), table.newest(["m0", "m1"]))  # a tie of two epochs: the own one counts
+        table.update_own(up=False)
+        self.assertEqual(VersionId("f", 3), table.newest(["m0", "m1"]))  # a member connected to the source decides
+        table.receive(old._replace(boot="life-m1", count=1, epoch="g"), "m1", lambda name: None, 3)
+        self.assertEqual("f", table.rows["m1"].epoch)  # an older row that arrives late
+
+    def test_rows_fit_into_messages_of_bounded_size(self):
         swim = Swim("m0", "127.0.0.1:1", "b", 1, 0)
         news = tuple(
             Update(f"m{n}", "127.0.0.1:12345", State.ALIVE, 1, "01234567", "127.0.0.1:12345") for n in range(20)
@@ -183,7 +183,7 @@
         message = swim.message("ping", 1, "m1")._replace(news=news, held=(row,) * 6)
         data = wire.encode(message, b"k")
         self.assertLessEqual(len(data), wire.MAX_BYTES)
-        self.assertEqual(news, wire.decode(data, [b"k"]).news[:20])  # who lives comes first
+        self.assertEqual(news, wire.decode(data, [b"k"]).news[:20])  # membership updates go before rows
         other = row._replace(name="m1", epoch="f", digest=0)
         small = message._replace(news=news[:4], held=(row, row._replace(name="m2", digest=0), other))
         self.assertEqual(small, wire.decode(wire.encode(small, b"k"), [b"k"]))
@@ -194,8 +194,8 @@
             wire.decode(wire.encode(small, b"other"), [b"k"])
 
 
-class Up(unittest.TestCase):
-    def test_first_the_source_then_another_then_later_and_later(self):
+class CatchingUp(unittest.TestCase):
+    def test_the_source_is_asked_first_then_peers_with_growing_delays(self):
         up, asked, nudges = CatchUp("m0", 3), [], []
         for now in range(0, 600_000, 2_500):
             step = up.next_step(now, 0, 10, ["m1", "m2"])
@@ -207,22 +207,22 @@
         self.assertEqual((NUDGE_AFTER, NUDGE_AFTER + NUDGE_INTERVAL), tuple(nudges[:2]))
         gaps = [b - a for a, b in zip(asked, asked[1:])]
         self.assertGreater(asked[0], NUDGE_AFTER)
-        self.assertGreater(min(gaps[3:]), max(gaps[:2]))  # refused, it asks less and less
+        self.assertGreater(min(gaps[3:]), max(gaps[:2]))  # the delay grows with each refusal
         self.assertEqual("m1", up.next_step(700_000, 0, 10, ["m1"]).peer)
         up.finished(700_000, False, bad_copy=True)  # it is not asked again
         self.assertEqual({None}, {up.next_step(now, 0, 10, ["m1"]).peer for now in range(700_000, 999_999, 2_500)})
-        up.next_step(10**6, None, 0, ())  # level: all is forgotten
+        up.next_step(10**6, None, 0, ())  # caught up: all is reset
         self.assertEqual("m1", up.next_step(2 * 10**6, 10**6, 1, ["m1"]).peer)
 
-    def test_a_giver_serves_a_few_at_once_and_so_many_bytes_a_second(self):
+    def test_transfers_are_limited_in_number_and_in_bytes_a_second(self):
         giver = TransferLimit(0)
         self.assertEqual([True] * MAX_TRANSFERS + [False], [giver.try_begin(0) for _ in range(MAX_TRANSFERS + 1)])
-        giver.done(6 * BYTES_PER_SECOND)  # into debt
+        giver.done(6 * BYTES_PER_SECOND)  # the tokens become negative
         self.assertFalse(giver.try_begin(10_000))
         self.assertTrue(giver.try_begin(60_000))
 
 
-class HandedOver(unittest.TestCase):
+class Transfers(unittest.TestCase):
     def setUp(self):
         self.giver, self.recent = Follower(), []
         self.giver.load("e", 1, {"a": title("a", 1)})
@@ -231,18 +231,18 @@
         for n, change in enumerate(({"b": title("b", 2)}, {"a": None}, {}), 2):
             self.recent.append(Delta(n, change, 3 if n == 4 else 0))
             self.giver.delta("e", self.recent[-1])
-        self.told = transfer.PeerDigests({"m2": self.giver.sum}, True)
+        self.reported = transfer.PeerDigests({"m2": self.giver.sum}, True)
 
     def changes(self, since=1):
         return transfer.encode_changes("m1", self.giver, self.recent, "e", since)
 
-    def test_changes_or_the_whole_bring_up_to_the_same(self):
+    def test_deltas_and_a_whole_copy_lead_to_the_same_state(self):
         whole = b"".join(transfer.encode_whole("m1", self.giver, 1))
         self.assertEqual(4, transfer.version_of(whole))
         for data in (self.changes(), whole):
             follower = Follower()
             follower.load("e", 1, {"a": title("a", 1)})
-            epoch, messages = transfer.verify(data, follower, "e", self.told)
+            epoch, messages = transfer.verify(data, follower, "e", self.reported)
             for m in messages:
                 (follower.whole if isinstance(m, Whole) else follower.delta)(epoch, m)
             self.assertEqual(
@@ -252,21 +252,21 @@
         for since in (-1, 5):
             self.assertIsNone(self.changes(since))
         del self.recent[0]
-        self.assertIsNone(self.changes())  # what it no longer knows one by one it gives whole
+        self.assertIsNone(self.changes())  # without all the deltas a whole copy is needed
 
-    def test_what_is_damaged_lies_or_is_of_another_epoch_is_refused_by_name(self):
+    def test_damaged_wrong_or_foreign_copies_are_refused_with_the_reason(self):
         data = self.changes()
 
-        def why(data, wanted="e", told=self.told):
+        def why(data, wanted="e", reported=self.reported):
             with self.assertRaises(transfer.Refused) as no:
-                transfer.verify(data, self.ours, wanted, told)
+                transfer.verify(data, self.ours, wanted, reported)
             return no.exception.bad_copy, str(no.exception)
 
-        for at in range(len(data)):  # any byte: refused, or what it says and others tell
+        for at in range(len(data)):  # any flipped byte: refused, or the content is the reported one
             flipped = bytearray(data)
             flipped[at] ^= 0x41
             try:
-                _, messages = transfer.verify(bytes(flipped), self.ours, "e", self.told)
+                _, messages = transfer.verify(bytes(flipped), self.ours, "e", self.reported)
             except transfer.Refused:
                 continue
             total = self.ours.sum
@@ -276,25 +276,26 @@
                 titles.update(m.titles)
             self.assertEqual(self.giver.sum, total)
         self.assertEqual(
-            (True, "version 4 with a digest that m2 tell otherwise"),
-            why(data, told=transfer.PeerDigests({"m2": 5}, True)),
+            (True, "version 4: digest differs from what m2 report"),
+            why(data, reported=transfer.PeerDigests({"m2": 5}, True)),
         )
         self.assertEqual(
-            (False, "version 4, which nobody else tells yet"), why(data, told=transfer.PeerDigests({}, True))
+            (False, "version 4 is not reported by any other manager yet"),
+            why(data, reported=transfer.PeerDigests({}, True)),
         )
-        self.assertEqual((False, "epoch 'e' where 'f' is in force"), why(data, "f"))
+        self.assertEqual((False, "epoch 'e', but 'f' is in force"), why(data, "f"))
         self.assertTrue(why(data[:-3])[0])
-        self.giver.titles["b"] = title("b", 9)  # it lies: says one thing and gives another
+        self.giver.titles["b"] = title("b", 9)  # its content does not match its digest
         self.assertEqual(
-            (True, "titles of version 4 that do not amount to its digest"),
+            (True, "titles of version 4 do not match its digest"),
             why(b"".join(transfer.encode_whole("m1", self.giver, 5))),
         )
         self.ours.version = 4
-        self.assertIn("no newer than ours", why(data)[1])
+        self.assertIn("is not newer than the present one", why(data)[1])
 
 
-class Tries(unittest.TestCase):
-    def test_a_key_is_known_to_three_whoever_goes_and_counts_from_its_first_try(self):
+class Attempts(unittest.TestCase):
+    def test_a_key_is_known_to_three_managers_and_counts_from_its_first_attempt(self):
         names = [f"m{n}" for n in range(8)]
         mark = tries.mark_of(7, "one", "k")
         self.assertNotEqual(mark, tries.mark_of(7, "one", "l"))
@@ -312,7 +313,7 @@
             book.take(str(n), "m0", "a", 30 + tries.KEEP)
         self.assertEqual(tries.MOST, len(book.rows))
 
-    def test_a_box_lets_only_who_took_a_try_up_begin_it(self):
+    def test_a_box_lets_only_the_manager_that_took_an_attempt_over_begin_it(self):
         bars = tries.Bars()
         self.assertFalse(bars.refuses("k", "m0"))
         bars.begun("k", "m0.a.1.0")
@@ -325,12 +326,12 @@
         bars.take("l", "m1", 8 + tries.KEEP)
         self.assertFalse(bars.refuses("k", "m0"))  # long past
 
-    def test_a_set_up_is_for_one_start_of_a_box_that_is_older_than_its_try(self):
+    def test_a_set_up_is_for_one_start_of_a_box_that_precedes_its_attempt(self):
         bars = tries.Bars("b2")
         self.assertEqual([421, None, None], [bars.refuses("k", "m0", boot) for boot in ("b1", "b2", "")])
         self.assertEqual([True, True, False], [tries.may_go(50, since) for since in (40, 50, 51)])
 
-    def test_what_keepers_and_boxes_say_amounts_to_one_step(self):
+    def test_answers_of_keepers_and_boxes_give_one_step(self):
         silent = tries.SILENT
         self.assertIsNone(tries.first_of([None, silent], unsafe=False))
         self.assertEqual(("unknown", 0), tries.first_of([None, silent], unsafe=True))
@@ -348,13 +349,13 @@
             self.assertEqual(step, tries.settle(said, unsafe))
 
 
-class Lent(unittest.TestCase):
-    """Ends that are owed to boxes which do not answer, known to others."""
+class PendingReleases(unittest.TestCase):
+    """Pending releases at boxes that do not answer, known to other managers."""
 
-    def test_an_end_is_told_once_it_is_owed_for_a_while_and_again_while_it_stands(self):
+    def test_a_pending_release_is_reported_after_a_delay_and_again_while_it_lasts(self):
         owed, lending = Owed(1), lent.Lending()
         owed.end(1, "a", 0)
-        owed.end(1, "a", 900)  # asked for again: owed since the first time
+        owed.end(1, "a", 900)  # requested again: pending since the first time
         owed.end(2, "b", 1_000)
         self.assertEqual({}, lending.due(owed.standing(), lent.AFTER - 1))
         self.assertEqual({1: ["a"]}, lending.due(owed.standing(), lent.AFTER))
@@ -379,7 +380,7 @@
             [{"x": 4}, {}, {}], [book.of("m1", 2, 11), book.of("m1", 1, 11), book.of("m1", 2, 10 + lent.KEEP)]
         )
 
-    def test_a_keeper_that_lives_is_found_whoever_else_died(self):
+    def test_a_living_keeper_is_found_whichever_other_manager_died(self):
         alive = [f"m{n}" for n in range(9)]
         for box in range(30):
             told = lent.keepers(box, alive, "m0")
@@ -387,14 +388,14 @@
                 left = [m for m in alive if m not in (gone, "m0")]
                 self.assertLessEqual({m for m in told if m != gone}, set(lent.keepers(box, left, "m0")))
 
-    def test_who_takes_over_ends_what_was_owed_unless_it_had_another_holder_since(self):
+    def test_a_takeover_carries_out_pending_releases_unless_the_session_had_another_owner_since(self):
         sessions = [Session("a", "m0", 0, "v", True), Session("b", "m0", 2, "w", True)]
         made = plan_claims(sessions, "m0", "m1", ["m1"], pending_releases={"a": 0, "b": 0})
         self.assertEqual(({("a", 1), ("b", 3)}, ("a",)), (set(made.claims), made.ends))
 
 
-class PutBack(unittest.IsolatedAsyncioTestCase):
-    async def test_a_store_older_than_what_was_told_begins_an_epoch(self):
+class RestoredStore(unittest.IsolatedAsyncioTestCase):
+    async def test_a_store_older_than_the_sent_versions_begins_an_epoch(self):
         from flaxscale.catalogued.service import Service
         from tests.rig import Rows
 
