--- a/flaxscale/leases/__init__.py
+++ b/flaxscale/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases for what one process does for the whole fleet: who may act, for how long, and how nobody else can. No I/O."""
+"""Leases for duties that one process does for the whole fleet: shares, grants, holding and fencing. No I/O."""
--- a/flaxscale/leases/holder.py
+++ b/flaxscale/leases/holder.py
@@ -1,10 +1,10 @@
-"""Who holds: one manager's side of its leases. No I/O; times are tenths of a millisecond of its own steady clock.
+"""The holder of leases: one manager's side. No I/O; times are tenths of a millisecond of its own steady clock.
 
-A grant counts from before it was asked for, and ends early by the drift; a step begins only where it ends before that.
-A holder may still be stopped between that check and its act: so each act carries token and owner, and whoever is acted
-on refuses older ones (fence.Fence). Believing to hold is for economy, the fence is for safety: M. Kleppmann, "How to do
-distributed locking" (2016); M. Burrows, "The Chubby lock service for loosely-coupled distributed systems" (OSDI 2006,
-2.4) has sequencers for it.
+A grant counts from its request and ends early by the drift; a step begins only where it ends before that. A holder may
+still be stopped between this check and its act, so each act carries token and owner, and the resource refuses older
+ones (fence.Fence). The lease avoids duplicate work, the fence makes it safe: M. Kleppmann, "How to do distributed
+locking" (2016); the sequencers of M. Burrows, "The Chubby lock service for loosely-coupled distributed systems" (OSDI
+2006, 2.4).
 """
 
 from typing import NamedTuple
@@ -12,21 +12,23 @@
 from ..chance import drawn
 from .terms import RENEWALS
 
-REQUEST_TIMEOUT = 5_000  # an asking without an answer is given up
-SILENCE_TIMEOUT = 15_000  # asked for so long without a word: the way to the granter only seems to stand
+REQUEST_TIMEOUT = 5_000  # a request without an answer is given up
+SILENCE_TIMEOUT = 15_000  # requests without any answer for so long: the connection to the granter is taken for dead
 RETRY_DELAY = 2_500  # the first delay after a request that was refused or not answered
 MAX_RETRY_DELAY = 50_000  # the longest such delay
-RECONNECTS_PER_SECOND = 100  # members that may come at once after an outage; beyond that they spread
+RECONNECTS_PER_SECOND = 100  # members that send requests in the same second after an outage
 
 
 class Lease(NamedTuple):
+    """A lease that this manager holds."""
+
     piece: str
     token: int
-    until: int  # no act after it
+    until: int  # no act may run after it
 
 
 class WantedPiece:
-    """One piece that is ours to hold by the shares."""
+    """One piece that is assigned to this manager."""
 
     __slots__ = "task", "token", "until", "asked_at", "number", "next_at", "failed", "closing"
 
@@ -36,142 +38,162 @@
 
 
 class Holder:
+    """All leases of one manager."""
+
     def __init__(self, owner, seed, now):
         self.owner, self.seed, self.draws, self.number = owner, seed, 0, 0
-        self.wanted, self.connected, self.refused = {}, False, {}  # refused: {piece: (owner, token, left)} as last told
-        self.highest_token = 0  # the highest token that anybody told us of
-        self.asked_since = None  # the first asking since the granter was last heard
+        self.wanted, self.connected, self.refused = (
+            {},
+            False,
+            {},
+        )  # refused: {piece: (owner, token, left)} as last answered
+        self.highest_token = 0  # that this manager knows of
+        self.asked_since = None  # the first request since the last answer of the granter
 
     def chance(self):
+        """A number from 0 up to 1."""
         self.draws += 1
         return drawn(b"%d:lease:%d" % (self.seed, self.draws))
 
-    # What is ours to hold
+    # Assigned pieces
 
     def set_wanted(self, tasks, now):
-        """tasks: {piece: Task} that the shares give us. What is no longer ours is given back after its step."""
+        """Sets the assigned pieces as {piece: Task}. Other pieces are released once no step of them runs."""
         for piece in self.wanted.keys() - tasks.keys():
             self.wanted[piece].closing = True
         for piece, task in tasks.items():
-            held = self.wanted.get(piece)
-            if held is None:
+            wanted = self.wanted.get(piece)
+            if wanted is None:
                 self.wanted[piece] = WantedPiece(task, now)
             else:
-                held.task, held.closing = task, False
+                wanted.task, wanted.closing = task, False
 
     def set_connected(self, up, members, now):
-        """The way to the granter stands, or is gone. Many that come back do so spread over a while."""
+        """The connection to the granter is up or down. The first requests of many members are spread over time."""
         if up and not self.connected:
             spread = 10_000 * members / RECONNECTS_PER_SECOND
-            for held in self.wanted.values():
-                held.asked_at, held.failed = None, 0
-                if not self.holds_one(held, now):
-                    held.next_at = now + round(spread * self.chance())
+            for wanted in self.wanted.values():
+                wanted.asked_at, wanted.failed = None, 0
+                if not self.holds_one(wanted, now):
+                    wanted.next_at = now + round(spread * self.chance())
         self.connected, self.asked_since = up, None
 
     def granter_silent(self, now):
-        """Whether nothing was heard of the granter although we ask and ask. A stream that is cut silently never ends by
-        itself: a holder behind one kept its shares, and nobody else asked for them, for as long as the cut lasted.
+        """Whether the granter has left all requests without an answer for SILENCE_TIMEOUT.
+
+        A connection that is cut silently does not end by itself: its holder kept its pieces, and nobody else requested
+        them, for as long as the cut lasted.
         """
         return self.connected and self.asked_since is not None and now - self.asked_since >= SILENCE_TIMEOUT
 
-    # Asking
+    # Requests
 
     def due(self, now):
-        """[(piece, token, number)] to ask for now, in one message; each is noted as asked for.
+        """[(piece, token, number)] to request now, in one message; each counts as requested.
 
-        Where one must be renewed, what would be renewed soon goes along: many pieces cost one message a renewal.
+        Where one must be renewed, pieces that are due soon go along, so that many pieces cost one message a renewal.
         """
         if not self.connected:
             return []
         ready, soon = [], []
-        for piece, held in sorted(self.wanted.items()):
-            if held.asked_at is not None:
-                if now - held.asked_at < REQUEST_TIMEOUT:
+        for piece, wanted in sorted(self.wanted.items()):
+            if wanted.asked_at is not None:
+                if now - wanted.asked_at < REQUEST_TIMEOUT:
                     continue
-                held.asked_at = None
-                self.put_off(held, now)
-            if not held.closing:
-                if now >= held.next_at:
-                    ready.append((piece, held))
-                elif self.holds_one(held, now) and held.next_at - now <= held.task.span // (2 * RENEWALS):
-                    soon.append((piece, held))
+                wanted.asked_at = None
+                self.back_off(wanted, now)
+            if not wanted.closing:
+                if now >= wanted.next_at:
+                    ready.append((piece, wanted))
+                elif self.holds_one(wanted, now) and wanted.next_at - now <= wanted.task.span // (2 * RENEWALS):
+                    soon.append((piece, wanted))
         out = []
-        for piece, held in ready + soon if ready else ():
+        for piece, wanted in ready + soon if ready else ():
             self.number += 1
-            held.asked_at, held.number = now, self.number
+            wanted.asked_at, wanted.number = now, self.number
             if self.asked_since is None:
                 self.asked_since = now
-            out.append((piece, held.token if self.holds_one(held, now) else 0, self.number))
+            out.append((piece, wanted.token if self.holds_one(wanted, now) else 0, self.number))
         return out
 
-    def put_off(self, held, now):
-        held.failed += 1
-        held.next_at = now + round(
-            min(MAX_RETRY_DELAY, RETRY_DELAY * 2 ** min(held.failed, 6)) * (0.5 + 0.5 * self.chance())
+    def back_off(self, wanted, now):
+        """Delays the next request exponentially."""
+        wanted.failed += 1
+        wanted.next_at = now + round(
+            min(MAX_RETRY_DELAY, RETRY_DELAY * 2 ** min(wanted.failed, 6)) * (0.5 + 0.5 * self.chance())
         )
 
     def granted(self, piece, number, token, now):
-        """An answer to the asking of this number; True where it makes us a holder who was none before."""
+        """Takes the grant for the request of this number; True where this manager did not hold the piece before."""
         self.highest_token, self.asked_since = max(self.highest_token, token), None
-        held = self.wanted.get(piece)
-        if held is None or held.asked_at is None or held.number != number:
-            return False  # of an asking that was given up: when it was asked is not known any more
-        began, held.asked_at, held.failed = held.asked_at, None, 0
-        fresh = not self.holds_one(held, now) or token != held.token
-        held.token, held.until = token, began + held.task.holder_span()
-        held.next_at = began + round(held.task.span / RENEWALS * (0.9 + 0.1 * self.chance()))
+        wanted = self.wanted.get(piece)
+        if wanted is None or wanted.asked_at is None or wanted.number != number:
+            return False  # of a request that was given up: its time is not known any more
+        began, wanted.asked_at, wanted.failed = wanted.asked_at, None, 0
+        fresh = not self.holds_one(wanted, now) or token != wanted.token
+        wanted.token, wanted.until = token, began + wanted.task.holder_span()
+        wanted.next_at = began + round(wanted.task.span / RENEWALS * (0.9 + 0.1 * self.chance()))
         self.refused.pop(piece, None)
         return fresh
 
     def busy(self, piece, number, owner, token, left, now):
+        """Takes the refusal of the request of this number."""
         self.highest_token, self.asked_since = max(self.highest_token, token), None
-        held = self.wanted.get(piece)
-        if held is None or held.asked_at is None or held.number != number:
+        wanted = self.wanted.get(piece)
+        if wanted is None or wanted.asked_at is None or wanted.number != number:
             return
-        held.asked_at = None
-        if not self.holds_one(held, now):
-            held.token = 0
+        wanted.asked_at = None
+        if not self.holds_one(wanted, now):
+            wanted.token = 0
         self.refused[piece] = owner, token, left
-        self.put_off(held, now)
-        held.next_at = max(held.next_at, min(now + left + round(RETRY_DELAY * self.chance()), now + MAX_RETRY_DELAY))
+        self.back_off(wanted, now)
+        wanted.next_at = max(
+            wanted.next_at, min(now + left + round(RETRY_DELAY * self.chance()), now + MAX_RETRY_DELAY)
+        )
 
     def outdated(self, piece, token):
-        """A resource refused an act of ours: it knows a later token, or this one of another owner."""
+        """A resource refused an act: it knows a later token, or this one with another owner."""
         self.highest_token = max(self.highest_token, token)
-        if (held := self.wanted.get(piece)) is not None:
-            held.token = held.until = 0
+        if (wanted := self.wanted.get(piece)) is not None:
+            wanted.token = wanted.until = 0
 
-    # Acting
+    # Acts
 
     @staticmethod
-    def holds_one(held, now):
-        return held.token > 0 and now < held.until
+    def holds_one(wanted, now):
+        """Whether a WantedPiece is held."""
+        return wanted.token > 0 and now < wanted.until
 
     def holds(self, piece, now):
-        held = self.wanted.get(piece)
-        return held is not None and self.holds_one(held, now)
+        """Whether this manager holds a piece."""
+        wanted = self.wanted.get(piece)
+        return wanted is not None and self.holds_one(wanted, now)
 
     def may_begin(self, piece, now):
-        """The Lease under which one more step of this piece may begin, or None."""
-        held = self.wanted.get(piece)
-        if held is None or held.closing or not self.holds_one(held, now) or now + held.task.step >= held.until:
+        """The Lease under which a step of this piece may begin now, or None."""
+        wanted = self.wanted.get(piece)
+        if (
+            wanted is None
+            or wanted.closing
+            or not self.holds_one(wanted, now)
+            or now + wanted.task.step >= wanted.until
+        ):
             return None
-        return Lease(piece, held.token, held.until)
+        return Lease(piece, wanted.token, wanted.until)
 
     def releases(self, now, busy=()):
-        """[(piece, token)] to give back: no longer ours, and none of its steps (busy: pieces) is under way."""
+        """[(piece, token)] to release: pieces no longer assigned. busy: pieces with a running step, which stay."""
         out = []
-        for piece, held in list(self.wanted.items()):
-            if held.closing and piece not in busy:
-                if self.holds_one(held, now):
-                    out.append((piece, held.token))
+        for piece, wanted in list(self.wanted.items()):
+            if wanted.closing and piece not in busy:
+                if self.holds_one(wanted, now):
+                    out.append((piece, wanted.token))
                 del self.wanted[piece]
                 self.refused.pop(piece, None)
         return out
 
     def release_all(self, now, busy=()):
-        """A planned stop: all is given back that no step is under way of."""
-        for held in self.wanted.values():
-            held.closing = True
+        """Releases all pieces without a running step, at a planned stop."""
+        for wanted in self.wanted.values():
+            wanted.closing = True
         return self.releases(now, busy)
--- a/flaxscale/leases/shares.py
+++ b/flaxscale/leases/shares.py
@@ -1,9 +1,9 @@
-"""Which manager asks for which pieces. No I/O.
+"""The assignment of pieces to managers: which manager requests which leases. No I/O.
 
-Every manager reckons it alone from the members that it knows of; where they differ for a while the granter gives each
-piece to one of them all the same. Rendezvous hashing with a bound on what one gets (V. Mirrokni, M. Thorup and
-M. Zadimoghaddam, "Consistent hashing with bounded loads", SODA 2018): a piece goes to the first in its own order of
-managers that has not its part yet, so that parts differ by one at most, and a death moves little but what the dead had.
+Each manager computes it from the members that it knows. Where their lists differ for a while, the granter still gives
+each piece to one of them only. It is rendezvous hashing with bounded loads (V. Mirrokni, M. Thorup and
+M. Zadimoghaddam, "Consistent hashing with bounded loads", SODA 2018): a piece goes to the first manager in its own
+hashing order whose quota is not used up. So quotas differ by one at most, and a death moves few pieces of others.
 """
 
 import functools
@@ -13,35 +13,38 @@
 
 
 class Candidate(NamedTuple):
-    """A manager as the others know it."""
+    """A manager as the others know it from its row in versions.table."""
 
     name: str
-    full: bool = False  # its gate refuses for lag, or it holds what it may
-    slow: bool = False  # it answers late: half a part
-    under: bool = False  # under the floor of versions, or behind
-    away: bool = False  # it does not hear the service: nothing could be granted to it
+    full: bool = False  # its gate refuses for lag, or it is at its session limit
+    slow: bool = False  # its event loop stalled lately: it gets a smaller quota
+    under: bool = False  # below the version floor, or behind
+    away: bool = False  # not connected to the service, so that nothing can be granted to it
 
 
-SLOW = 0.5
+SLOW_WEIGHT = 0.5  # of a slow manager, where others have 1
 
 
-def eligible(fits):
-    """{name: its part, 1 for a whole one} of those that may hold something; if all are full, of all that hear the
-    service and aren't under the floor."""
-    above = [fit for fit in fits if not (fit.under or fit.away)]
-    able = [fit for fit in above if not fit.full] or above
-    return {fit.name: SLOW if fit.slow else 1.0 for fit in able}
+def eligible(candidates):
+    """{name: weight} of managers that may hold leases.
+
+    Managers that are full are left out, unless all that are connected and not below the floor are full.
+    """
+    connected = [candidate for candidate in candidates if not (candidate.under or candidate.away)]
+    chosen = [candidate for candidate in connected if not candidate.full] or connected
+    return {candidate.name: SLOW_WEIGHT if candidate.slow else 1.0 for candidate in chosen}
 
 
 def weight(manager, piece):
+    """The rendezvous weight of a manager for a piece; the manager's name breaks ties."""
     return xxhash.xxh3_64_intdigest(f"lease\0{manager}\0{piece}".encode()), manager
 
 
-def parts_of(count, weights):
-    """{manager: how many pieces at most}, whole numbers that add up to count; those of one weight differ by one."""
+def quotas(count, weights):
+    """{manager: how many pieces at most}, whole numbers that add up to count; those of equal weight differ by one."""
     total, left, out = sum(weights.values()), count, {}
-    for name, w in weights.items():
-        out[name] = int(count * w / total)
+    for name, manager_weight in weights.items():
+        out[name] = int(count * manager_weight / total)
         left -= out[name]
     for name in sorted(weights, key=lambda n: (-weights[n], -weight(n, "")[0]))[:left]:
         out[name] += 1
@@ -49,25 +52,26 @@
 
 
 def share(pieces, weights):
-    """{piece: manager}, not to be changed. weights: as eligible() gives them; empty: nobody may hold anything.
+    """{piece: manager}; the caller must not change it. weights: as eligible() returns them; empty: no assignment.
 
-    Asked five times a second by everybody, while pieces and members change now and then only: 500 pieces among 300
-    took a manager 0.12 s each time, so that what was reckoned last is remembered.
+    Every manager calls it five times a second, while pieces and members seldom change. 500 pieces among 300 managers
+    took 0.12 s each time, so results are cached.
     """
-    return reckoned(tuple(pieces), tuple(weights.items()))
+    return computed_share(tuple(pieces), tuple(weights.items()))
 
 
 @functools.lru_cache(maxsize=64)
-def reckoned(pieces, weights):
+def computed_share(pieces, weights):
+    """share() without the cache, of hashable arguments."""
     weights = dict(weights)
     if not weights:
         return {}
-    room, out = parts_of(len(pieces), weights), {}
-    whole = {name: room[name] for name in weights if room[name]}
+    quota, out = quotas(len(pieces), weights), {}
+    room = {name: quota[name] for name in weights if quota[name]}
     for piece in sorted(pieces, key=lambda p: xxhash.xxh3_64_intdigest(f"piece\0{p}".encode())):
-        name = max(whole, key=lambda name: weight(name, piece))  # the first in the piece's order that has room
-        whole[name] -= 1
-        if not whole[name]:
-            del whole[name]
+        name = max(room, key=lambda name: weight(name, piece))  # the first in the piece's order that has room
+        room[name] -= 1
+        if not room[name]:
+            del room[name]
         out[piece] = name
     return out
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases: terms, granter, holder, fence, shares and duties without sockets; all courses of small cases; seeded bugs."""
+"""Leases: terms, granter, holder, fence, shares and duties without sockets; all runs of small cases; planted bugs."""
 
 import asyncio
 import collections
@@ -43,7 +43,7 @@
         self.assertIn("drift", DUTY._replace(drift=0.5).error())
         self.assertIn("step", DUTY._replace(step=0).error())
 
-    def test_a_site_names_duties_that_there_are_with_figures_that_go_together(self):
+    def test_a_site_names_known_duties_with_valid_figures(self):
         def found(duties):
             return [key for key, _ in faults(shape("test", TERMS.rstrip()[:-1] + f', "duties": {duties}}}', Site))]
 
@@ -67,7 +67,7 @@
         self.assertEqual(Granted("duty", 1, False), g.request("duty", "a", 1, 20_000))  # renewed
         self.assertEqual(Busy("duty", "a", 1, 1), g.request("duty", "b", 0, 71_000))
         self.assertEqual(Granted("duty", 2, True), g.request("duty", "b", 0, 71_001))
-        self.assertIsInstance(g.request("duty", "a", 1, 71_002), Busy)  # it thought so too long
+        self.assertIsInstance(g.request("duty", "a", 1, 71_002), Busy)  # its grant is over
         self.assertFalse(g.release("duty", "a", 1, 71_003))
         self.assertTrue(g.release("duty", "b", 2, 71_004))
         self.assertEqual(Granted("duty", 3, True), g.request("duty", "a", 0, 71_004))  # no gap
@@ -76,31 +76,31 @@
             [("granted", 1), ("granted", 2), ("given", 2), ("granted", 3)], [(e.what, e.token) for e in g.past]
         )
 
-    def test_after_a_start_nothing_new_until_every_span_is_over_but_who_holds_renews(self):
+    def test_after_a_start_holders_renew_and_new_grants_wait_for_every_span(self):
         g = self.granter()
         g.request("duty", "a", 0, 0)
         again = Granter({"duty": DUTY}, 7_000)
         again.load(g.dump(), 7_000)
         self.assertEqual(Busy("duty", "", 0, 51_001), again.request("duty", "b", 0, 7_000))
         self.assertEqual(Granted("duty", 1, False), again.request("duty", "a", 1, 8_000))
-        # A store without that grant, or older than it: the holder's own word is enough, and its token counts.
+        # A store without that grant, or older than it: the holder's statement is enough, and its token counts.
         for kept in (Granter({"duty": DUTY}, 0).dump(), g.dump()):
             older = Granter({"duty": DUTY}, 7_000)
             older.load(kept, 7_000)
             self.assertEqual(Granted("duty", 9, True), older.request("duty", "c", 9, 8_000))
             self.assertEqual(Granted("duty", 10, True), older.request("duty", "b", 0, 8_000 + DUTY.granter_span()))
 
-    def test_each_start_counts_on_from_an_era_so_that_a_store_put_back_gives_no_token_again(self):
+    def test_each_start_continues_from_an_era_so_that_a_restored_store_repeats_no_token(self):
         g, older = self.granter(), Granter({"duty": DUTY}, 0, opened=0)
         g.start_era(1_800_000_000.7)
         self.assertEqual((1_800_000_000 << 20) + 1, g.request("duty", "a", 0, 0).token)
         older.start_era(1_800_000_003)
         self.assertGreater(older.request("duty", "b", 0, 0).token, g.count)
         again = Granter({"duty": DUTY}, 0, opened=0, count=g.count)
-        again.start_era(5)  # its clock was put back: the count that it keeps is more
+        again.start_era(5)  # its clock was set back: the stored count is larger
         self.assertEqual(g.count + 1, again.request("duty", "b", 0, 0).token)
 
-    def test_records_bring_back_what_was_told(self):
+    def test_records_restore_the_answers(self):
         g, log = self.granter(), []
         for owner, at in (("a", 0), ("b", 60_000), ("a", 120_000)):
             g.request("duty", owner, 0, at)
@@ -114,7 +114,7 @@
         with self.assertRaises(ValueError):
             again.replay(b"\x93\x07\x01\x02", 0)
 
-    def test_a_resource_takes_nothing_older_and_no_token_of_two(self):
+    def test_a_resource_accepts_no_older_token_and_no_token_of_two_owners(self):
         fence = Fence()
         self.assertEqual(
             [True, True, False, True, False, False],
@@ -130,7 +130,7 @@
     """The service's side on a disk that fails at any step."""
 
     def setUp(self):
-        # No era hides a token that was not durable.
+        # Without an era, which would hide a token that was not durable.
         still = unittest.mock.patch("flaxscale.catalogued.leases.time.time", return_value=0.0)
         still.start()
         self.addCleanup(still.stop)
@@ -143,9 +143,9 @@
         made.granter.opened = 0
         return made
 
-    async def hear(self, service, told, **said):
-        """One message, its writes made at once in place of 2 ms later."""
-        job = asyncio.ensure_future(service.hear(pb.WatchRequest(name="m", **said), told.append))
+    async def send(self, service, answers, **fields):
+        """Sends one message; its writes are made at once instead of 2 ms later."""
+        job = asyncio.ensure_future(service.hear(pb.WatchRequest(name="m", **fields), answers.append))
         while not job.done():
             await asyncio.wait({job}, timeout=0)
             if service.settling is not None:
@@ -153,31 +153,33 @@
                 service.settle()
         job.result()
 
-    async def course(self, disk):
-        """Three holders one after another, each acts once; what each was told until the disk failed."""
-        told = []
+    async def run_holders(self, disk):
+        """Three holders in turn, each acts once: [(owner, answers)] until the disk crashed."""
+        answers = []
         try:
             service = self.service(disk)
             for number, owner in enumerate(("a.1", "b.1", "c.1"), 1):
-                heard = []
-                told.append((owner, heard))
-                await self.hear(service, heard, owner=owner, leases=[pb.LeaseAsk(piece="duty", number=number)])
-                await self.hear(service, heard, owner=owner, acts=[pb.LeaseAct(piece="duty", token=number, number=9)])
-                await self.hear(service, heard, owner=owner, leases=[pb.LeaseAsk(piece="duty", token=number)])
+                received = []
+                answers.append((owner, received))
+                await self.send(service, received, owner=owner, leases=[pb.LeaseAsk(piece="duty", number=number)])
+                await self.send(
+                    service, received, owner=owner, acts=[pb.LeaseAct(piece="duty", token=number, number=9)]
+                )
+                await self.send(service, received, owner=owner, leases=[pb.LeaseAsk(piece="duty", token=number)])
         except Crash:
             pass
-        return told
+        return answers
 
-    async def test_what_was_told_or_done_is_known_after_a_crash_at_any_step(self):
+    async def test_answers_and_acts_are_known_after_a_crash_at_any_step(self):
         whole = FaultyFiles()
-        told = await self.course(whole)
-        self.assertEqual([1, 2, 3], [heard[0].lease.token for _, heard in told])
-        self.assertEqual([""] * 3, [heard[1].act.refused for _, heard in told])
+        answers = await self.run_holders(whole)
+        self.assertEqual([1, 2, 3], [received[0].lease.token for _, received in answers])
+        self.assertEqual([""] * 3, [received[1].act.refused for _, received in answers])
         for at in range(0, whole.steps, 7):
             disk = FaultyFiles(crash_at=at)
-            told = await self.course(disk)
-            tokens = [(owner, r.lease.token) for owner, heard in told for r in heard if r.HasField("lease")]
-            acted = [owner for owner, heard in told for r in heard if r.HasField("act") and not r.act.refused]
+            answers = await self.run_holders(disk)
+            tokens = [(owner, r.lease.token) for owner, received in answers for r in received if r.HasField("lease")]
+            acted = [owner for owner, received in answers for r in received if r.HasField("act") and not r.act.refused]
             for left in disk.survivors():
                 again = self.service(FaultyFiles(left))
                 if tokens:
@@ -187,34 +189,34 @@
                     self.assertFalse(again.fence.accepts("duty", 1, "z.1"))
                     self.assertIn(acted[-1].encode(), again.done["duty"])
 
-    async def test_a_disk_that_is_full_ends_granting_and_tells_nothing(self):
-        service, told = self.service(FaultyFiles(room=150)), []
+    async def test_a_full_disk_ends_granting_and_refuses_requests(self):
+        service, answers = self.service(FaultyFiles(room=150)), []
         for number in range(1, 6):
-            await self.hear(service, told, owner=f"m{number}.1", leases=[pb.LeaseAsk(piece="duty", number=number)])
+            await self.send(service, answers, owner=f"m{number}.1", leases=[pb.LeaseAsk(piece="duty", number=number)])
             service.granter.rows.clear()
         self.assertIsNotNone(service.broken)
-        self.assertLess(len([t for t in told if not t.lease.refused]), 5)
-        told.clear()  # whoever asks then hears that nothing is granted: silence would be taken for a cut
-        await self.hear(service, told, owner="m9.1", leases=[pb.LeaseAsk(piece="duty", number=9)])
-        self.assertEqual([(9, True)], [(t.lease.number, t.lease.refused) for t in told])
+        self.assertLess(len([t for t in answers if not t.lease.refused]), 5)
+        answers.clear()  # requests are refused then: silence would be taken for a cut connection
+        await self.send(service, answers, owner="m9.1", leases=[pb.LeaseAsk(piece="duty", number=9)])
+        self.assertEqual([(9, True)], [(t.lease.number, t.lease.refused) for t in answers])
 
-    async def test_once_the_disk_takes_writes_again_it_grants_again_and_no_token_goes_back(self):
+    async def test_it_grants_again_once_the_disk_works_and_no_token_goes_back(self):
         disk = FaultyFiles()
-        service, told = self.service(disk), []
-        await self.hear(service, told, owner="a.1", leases=[pb.LeaseAsk(piece="duty", number=1)])
-        await self.hear(service, told, owner="a.1", acts=[pb.LeaseAct(piece="duty", token=1, number=9)])
-        await self.hear(service, told, owner="a.1", leases=[pb.LeaseAsk(piece="duty", token=1)])  # given back
+        service, answers = self.service(disk), []
+        await self.send(service, answers, owner="a.1", leases=[pb.LeaseAsk(piece="duty", number=1)])
+        await self.send(service, answers, owner="a.1", acts=[pb.LeaseAct(piece="duty", token=1, number=9)])
+        await self.send(service, answers, owner="a.1", leases=[pb.LeaseAsk(piece="duty", token=1)])  # released
         disk.failing_sync = True
-        await self.hear(service, told, owner="b.1", leases=[pb.LeaseAsk(piece="duty", number=2)])
+        await self.send(service, answers, owner="b.1", leases=[pb.LeaseAsk(piece="duty", number=2)])
         self.assertIsNotNone(service.broken)
         disk.failing_sync = False
         await service.log.seen("leases' store taken up again")
-        told.clear()
+        answers.clear()
         service.granter.rows.clear()
-        await self.hear(service, told, owner="c.1", leases=[pb.LeaseAsk(piece="duty", number=3)])
-        token = told[0].lease.token
+        await self.send(service, answers, owner="c.1", leases=[pb.LeaseAsk(piece="duty", number=3)])
+        token = answers[0].lease.token
         self.assertGreater(token, 1)
-        for left in disk.survivors():  # what was acknowledged before and after the fault outlives the power
+        for left in disk.survivors():  # what was acknowledged before and after the fault survives a power loss
             again = self.service(FaultyFiles(left))
             self.assertFalse(again.fence.accepts("duty", token - 1, "z.1") and again.granter.count < token)
             self.assertIn("duty", again.done)
@@ -223,67 +225,67 @@
 
 class Holding(unittest.TestCase):
     def holder(self):
-        h = Holder("m0.1", 7, 0)
-        h.set_wanted({"duty": DUTY}, 0)
-        h.set_connected(True, 1, 0)
-        return h
+        holder = Holder("m0.1", 7, 0)
+        holder.set_wanted({"duty": DUTY}, 0)
+        holder.set_connected(True, 1, 0)
+        return holder
 
-    def asked(self, h, now):
-        [(piece, token, number)] = h.due(now)
+    def requested(self, holder, now):
+        [(piece, token, number)] = holder.due(now)
         return token, number
 
-    def test_a_grant_counts_from_before_the_asking_and_a_step_must_fit(self):
-        h = self.holder()
-        at = h.wanted["duty"].next_at
-        _, number = self.asked(h, at)
-        self.assertTrue(h.granted("duty", number, 4, at + 3_000))
-        self.assertEqual((4, at + DUTY.holder_span()), h.may_begin("duty", at + 3_000)[1:])
+    def test_a_grant_counts_from_its_request_and_a_step_must_fit(self):
+        holder = self.holder()
+        at = holder.wanted["duty"].next_at
+        _, number = self.requested(holder, at)
+        self.assertTrue(holder.granted("duty", number, 4, at + 3_000))
+        self.assertEqual((4, at + DUTY.holder_span()), holder.may_begin("duty", at + 3_000)[1:])
         last = at + DUTY.holder_span() - DUTY.step
-        self.assertIsNotNone(h.may_begin("duty", last - 1))
-        self.assertIsNone(h.may_begin("duty", last))
-        self.assertTrue(h.holds("duty", last))
-        self.assertFalse(h.holds("duty", at + DUTY.holder_span()))
-
-    def test_it_renews_in_time_for_two_to_be_lost_and_an_answer_to_no_asking_counts_nothing(self):
-        h = self.holder()
-        at = h.wanted["duty"].next_at
-        _, number = self.asked(h, at)
-        h.granted("duty", number, 4, at)
+        self.assertIsNotNone(holder.may_begin("duty", last - 1))
+        self.assertIsNone(holder.may_begin("duty", last))
+        self.assertTrue(holder.holds("duty", last))
+        self.assertFalse(holder.holds("duty", at + DUTY.holder_span()))
+
+    def test_two_renewals_may_be_lost_and_an_answer_to_no_request_is_ignored(self):
+        holder = self.holder()
+        at = holder.wanted["duty"].next_at
+        _, number = self.requested(holder, at)
+        holder.granted("duty", number, 4, at)
         times, now = [], at
         while now < at + DUTY.holder_span():
-            if due := h.due(now):
+            if due := holder.due(now):
                 times.append(now)
                 self.assertEqual(("duty", 4), due[0][:2])
             now += 500
         self.assertGreaterEqual(len(times), 3)
         self.assertLess(times[0] - at, DUTY.span / RENEWALS)
-        self.assertFalse(h.granted("duty", number, 5, now))  # of the first asking, long given up
-        self.assertFalse(h.holds("duty", now))
+        self.assertFalse(holder.granted("duty", number, 5, now))  # of the first request, given up long ago
+        self.assertFalse(holder.holds("duty", now))
 
     def test_many_pieces_are_renewed_together(self):
-        h, messages, now = Holder("m0.1", 7, 0), 0, 0
-        h.set_wanted({f"duty/{n}": DUTY for n in range(40)}, 0)
-        h.set_connected(True, 1, 0)
+        holder, messages, now = Holder("m0.1", 7, 0), 0, 0
+        holder.set_wanted({f"duty/{n}": DUTY for n in range(40)}, 0)
+        holder.set_connected(True, 1, 0)
         while now < 20 * DUTY.span:
-            if asked := h.due(now):
+            if asked := holder.due(now):
                 messages += 1
                 for piece, token, number in asked:
-                    h.granted(piece, number, token or number, now)
+                    holder.granted(piece, number, token or number, now)
             now += 2_000
         self.assertLess(messages, 20 * 2 * RENEWALS)
-        self.assertTrue(all(h.holds(piece, now) for piece in h.wanted))
+        self.assertTrue(all(holder.holds(piece, now) for piece in holder.wanted))
 
-    def test_what_is_refused_is_asked_for_when_it_may_be_free_and_never_in_a_rush(self):
-        h = self.holder()
-        now = h.wanted["duty"].next_at
+    def test_a_refused_piece_is_requested_when_it_may_be_free_and_reconnects_are_spread(self):
+        holder = self.holder()
+        now = holder.wanted["duty"].next_at
         for n in range(12):
-            _, number = self.asked(h, now)
-            h.busy("duty", number, "m1.1", 3, 20_000, now)
-            self.assertGreaterEqual(h.wanted["duty"].next_at, now + 20_000)
-            self.assertLessEqual(h.wanted["duty"].next_at, now + MAX_RETRY_DELAY)
-            now = h.wanted["duty"].next_at
-        self.assertEqual(({"duty": ("m1.1", 3, 20_000)}, 3), (h.refused, h.highest_token))
-        # After an outage those of a fleet come spread over three seconds, RECONNECTS_PER_SECOND a second.
+            _, number = self.requested(holder, now)
+            holder.busy("duty", number, "m1.1", 3, 20_000, now)
+            self.assertGreaterEqual(holder.wanted["duty"].next_at, now + 20_000)
+            self.assertLessEqual(holder.wanted["duty"].next_at, now + MAX_RETRY_DELAY)
+            now = holder.wanted["duty"].next_at
+        self.assertEqual(({"duty": ("m1.1", 3, 20_000)}, 3), (holder.refused, holder.highest_token))
+        # After an outage the requests of 300 members spread over three seconds, RECONNECTS_PER_SECOND in each.
         firsts = []
         for m in range(300):
             one = Holder(f"m{m}.1", m, 0)
@@ -294,54 +296,56 @@
         self.assertLess(max(by_second.values()), 1.4 * RECONNECTS_PER_SECOND)
         self.assertEqual(3, len(by_second))
 
-    def test_without_a_way_nothing_is_asked_and_a_lost_asking_is_given_up(self):
-        h = self.holder()
-        at = h.wanted["duty"].next_at
-        self.asked(h, at)
-        self.assertEqual([], h.due(at + REQUEST_TIMEOUT - 1))
-        h.due(at + REQUEST_TIMEOUT)
-        self.assertTrue(h.due(h.wanted["duty"].next_at))
-        h.set_connected(False, 1, at)
-        self.assertEqual([], h.due(at + 10 * REQUEST_TIMEOUT))
-
-    def test_a_way_that_only_seems_to_stand_is_found_out_by_askings_without_a_word(self):
-        # A stream that was cut silently stayed up, its holder kept its shares, and nobody was asked to follow it.
-        h = self.holder()
-        first = at = h.wanted["duty"].next_at
-        _, number = self.asked(h, at)
-        self.assertFalse(h.granter_silent(at + SILENCE_TIMEOUT - 1))
-        self.assertTrue(h.granter_silent(at + SILENCE_TIMEOUT))
-        while at < first + SILENCE_TIMEOUT:  # asked again meanwhile: it counts from the first
-            at = h.wanted["duty"].next_at if h.wanted["duty"].asked_at is None else at + REQUEST_TIMEOUT
-            h.due(at)
-        self.assertTrue(h.granter_silent(at))
-        h.busy("duty", h.wanted["duty"].number, "m1.1", 3, 100, at)  # any word of it will do
-        self.assertFalse(h.granter_silent(at + SILENCE_TIMEOUT))
-        at = h.wanted["duty"].next_at
-        self.asked(h, at)
-        h.set_connected(False, 1, at)
-        self.assertFalse(h.granter_silent(at + SILENCE_TIMEOUT))  # it is known to be down
-        h.set_connected(True, 1, at)
-        self.assertFalse(h.granter_silent(at + SILENCE_TIMEOUT))  # nothing was asked of it yet
-
-    def test_what_is_no_longer_ours_is_given_back_after_its_step_and_a_resource_outdates_us(self):
-        h = self.holder()
-        at = h.wanted["duty"].next_at
-        _, number = self.asked(h, at)
-        h.granted("duty", number, 4, at)
-        h.set_wanted({}, at)
-        self.assertIsNone(h.may_begin("duty", at))
-        self.assertEqual([[], [("duty", 4)], []], [h.releases(at, {"duty"}), h.releases(at), h.releases(at)])
-        h.set_wanted({"duty": DUTY}, at)
-        _, number = self.asked(h, at)
-        h.granted("duty", number, 5, at)
-        h.outdated("duty", 8)
-        self.assertEqual((8, False), (h.highest_token, h.holds("duty", at)))
-        self.assertEqual([], h.release_all(at))
+    def test_without_a_connection_nothing_is_requested_and_a_lost_request_is_given_up(self):
+        holder = self.holder()
+        at = holder.wanted["duty"].next_at
+        self.requested(holder, at)
+        self.assertEqual([], holder.due(at + REQUEST_TIMEOUT - 1))
+        holder.due(at + REQUEST_TIMEOUT)
+        self.assertTrue(holder.due(holder.wanted["duty"].next_at))
+        holder.set_connected(False, 1, at)
+        self.assertEqual([], holder.due(at + 10 * REQUEST_TIMEOUT))
+
+    def test_a_dead_connection_is_detected_by_requests_without_an_answer(self):
+        # A connection that was cut silently stayed up: its holder kept its pieces, and nobody else requested them.
+        holder = self.holder()
+        first = at = holder.wanted["duty"].next_at
+        _, number = self.requested(holder, at)
+        self.assertFalse(holder.granter_silent(at + SILENCE_TIMEOUT - 1))
+        self.assertTrue(holder.granter_silent(at + SILENCE_TIMEOUT))
+        while at < first + SILENCE_TIMEOUT:  # requested again meanwhile: it counts from the first request
+            at = holder.wanted["duty"].next_at if holder.wanted["duty"].asked_at is None else at + REQUEST_TIMEOUT
+            holder.due(at)
+        self.assertTrue(holder.granter_silent(at))
+        holder.busy("duty", holder.wanted["duty"].number, "m1.1", 3, 100, at)  # any answer counts
+        self.assertFalse(holder.granter_silent(at + SILENCE_TIMEOUT))
+        at = holder.wanted["duty"].next_at
+        self.requested(holder, at)
+        holder.set_connected(False, 1, at)
+        self.assertFalse(holder.granter_silent(at + SILENCE_TIMEOUT))  # it is known to be down
+        holder.set_connected(True, 1, at)
+        self.assertFalse(holder.granter_silent(at + SILENCE_TIMEOUT))  # nothing was requested yet
+
+    def test_unassigned_pieces_are_released_after_their_step_and_a_refused_act_ends_the_lease(self):
+        holder = self.holder()
+        at = holder.wanted["duty"].next_at
+        _, number = self.requested(holder, at)
+        holder.granted("duty", number, 4, at)
+        holder.set_wanted({}, at)
+        self.assertIsNone(holder.may_begin("duty", at))
+        self.assertEqual(
+            [[], [("duty", 4)], []], [holder.releases(at, {"duty"}), holder.releases(at), holder.releases(at)]
+        )
+        holder.set_wanted({"duty": DUTY}, at)
+        _, number = self.requested(holder, at)
+        holder.granted("duty", number, 5, at)
+        holder.outdated("duty", 8)
+        self.assertEqual((8, False), (holder.highest_token, holder.holds("duty", at)))
+        self.assertEqual([], holder.release_all(at))
 
 
 class Shares(unittest.TestCase):
-    def test_parts_are_even_and_a_death_moves_little_but_what_the_dead_had(self):
+    def test_shares_are_even_and_a_death_moves_few_pieces_of_others(self):
         for count, managers in ((1, 5), (20, 5), (500, 7), (500, 300)):
             names, pieces = [f"m{n}" for n in range(managers)], [f"p/{n}" for n in range(count)]
             before = share(pieces, dict.fromkeys(names, 1.0))
@@ -354,7 +358,7 @@
             self.assertLessEqual(moved, count / 4, (count, managers))
         self.assertEqual({}, share(["p"], {}))
 
-    def test_who_is_under_the_floor_holds_none_who_is_full_is_not_chosen_and_who_is_slow_gives_some_up(self):
+    def test_managers_below_the_floor_or_full_get_no_pieces_and_slow_ones_get_fewer(self):
         fits = [Candidate("a"), Candidate("b", slow=True), Candidate("c", full=True), Candidate("d", under=True)]
         weights = eligible(fits)
         self.assertEqual({"a": 1.0, "b": 0.5}, weights)
@@ -363,20 +367,22 @@
         self.assertEqual({"c": 1.0}, eligible([Candidate("c", full=True), Candidate("d", under=True)]))
         self.assertEqual(
             {}, eligible([Candidate("d", under=True), Candidate("e", away=True)])
-        )  # cut off from who grants
+        )  # not connected to the granter
 
 
 class Duties(unittest.TestCase):
-    def test_an_orphan_is_left_to_all_others_first(self):
+    def test_an_orphan_is_left_to_takeover_first(self):
         sweep, rows = OrphanScan(), [("k1", "m0", 0), ("k2", "m9", 3)]
         self.assertEqual([], sweep.overdue(rows, ["m0"], 0))
-        self.assertEqual([], sweep.overdue(rows, ["m0", "m9"], 30_000))  # it came back
+        self.assertEqual([], sweep.overdue(rows, ["m0", "m9"], 30_000))  # its manager returned
         self.assertEqual([], sweep.overdue(rows, ["m0"], 40_000))
         self.assertEqual([], sweep.overdue(rows, ["m0"], 40_000 + ORPHAN_AFTER - 1))
         self.assertEqual([("k2", "m9", 3)], sweep.overdue(rows, ["m0"], 40_000 + ORPHAN_AFTER))
-        self.assertEqual([], sweep.overdue([("k2", "m8", 4)], ["m0"], 40_000 + ORPHAN_AFTER))  # it had another since
+        self.assertEqual(
+            [], sweep.overdue([("k2", "m8", 4)], ["m0"], 40_000 + ORPHAN_AFTER)
+        )  # another manager had it since
 
-    def test_each_is_done_once_a_period_and_again_soon_where_it_failed(self):
+    def test_a_duty_is_due_once_a_period_and_sooner_after_a_failure(self):
         turns = Schedule()
         self.assertTrue(turns.due("duty", DUTY, 5))
         turns.begin("duty")
@@ -387,7 +393,7 @@
         turns.failed("duty", slow, 20)
         self.assertEqual([False, True], [turns.due("duty", slow, 20 + at) for at in (RETRY_AFTER - 1, RETRY_AFTER)])
 
-    def test_the_judge_finds_an_overlap_a_shared_token_and_a_gap(self):
+    def test_the_rules_find_an_overlap_a_shared_token_and_a_gap(self):
         def act(at, token, owner):
             return {"what": "lease", "did": "act", "at": at, "piece": "compact", "token": token, "owner": owner}
 
@@ -405,8 +411,8 @@
 
 
 class OnThePlatform(unittest.TestCase):
-    def test_run_loads_nothing_of_leases_nor_of_what_they_stand_on(self):
-        # The program of deploy/balancer.toml with all that it imports when it serves: off, and at no cost.
+    def test_the_platform_loads_nothing_of_leases_nor_of_their_dependencies(self):
+        # The program of deploy/balancer.toml with all that it imports when it serves: leases are off, at no cost.
         code = (
             "import sys, flaxscale.cli.platform, flaxscale.platform.config, flaxscale.platform.host\n"
             "print(*sorted(m.split('.')[1] for m in sys.modules if m.startswith('flaxscale.')))"
@@ -419,13 +425,15 @@
 
 
 class Explored(unittest.TestCase):
-    def test_every_course_of_two_managers_keeps_the_invariants_and_may_lead_to_a_holder(self):
-        machine = Machine((9, 10, 11), most=1)  # a slow holder, a fast granter: the worst within the bound
+    def test_every_run_of_two_managers_keeps_the_invariants_and_can_reach_a_holder(self):
+        machine = Machine(
+            (9, 10, 11), most=1
+        )  # a slow holder and a fast granter: the worst case within the drift bound
         found = explore(start(2, 0), machine.steps, 60_000, machine.good)
         self.assertEqual((None, None), (found.trace, found.stuck))
         self.assertGreater(found.states, 20_000)
 
-    def test_managers_with_clocks_of_one_rate_stand_for_each_other(self):
+    def test_managers_with_equal_clock_rates_are_interchangeable(self):
         machine = Machine((10, 10, 10), most=1)
         whole, less = (
             explore(start(2, 0), machine.steps, 60_000, machine.good, same) for same in (None, machine.alike)
@@ -435,7 +443,7 @@
         three = Machine((10, 10, 10, 10), most=1, bug="span counted from the answer")  # found among three as well
         self.assertIn("two hold at once", explore(start(3, 0), three.steps, 200_000, None, three.alike).trace[-1])
 
-    def test_seeded_bugs_are_found_with_a_short_trace(self):
+    def test_planted_bugs_are_found_with_a_short_trace(self):
         for bug in BUGS:
             with self.subTest(bug=bug):
                 rates = (9, 10, 11) if bug == "drift left out" else (10, 10, 10)
@@ -451,13 +459,13 @@
 
     @settings(max_examples=40, deadline=None)
     @given(st.integers(0, 2**32), st.sampled_from(((9, 10, 11, 11), (11, 9, 10, 9), (10, 10, 10, 10))))
-    def test_long_courses_of_three_managers_with_crashes_and_a_store_put_back(self, seed, rates):
+    def test_long_runs_of_three_managers_with_crashes_and_a_restored_store(self, seed, rates):
         machine = Machine(rates, most=4)
         self.assertIsNone(wander(start(3, 6, 2), machine.steps, random.Random(seed).choice, 300))
 
     @settings(max_examples=20, deadline=None)
     @given(st.integers(0, 2**32))
-    def test_clocks_beyond_the_bound_harm_no_resource(self, seed):
+    def test_clocks_beyond_the_drift_bound_harm_no_resource(self, seed):
         machine = Machine((4, 13, 10, 15), most=4)
-        machine.judge = lambda world: None  # two may believe it at once; nothing comes of it
+        machine.judge = lambda world: None  # two may believe that they hold it; the fence decides
         self.assertIsNone(wander(start(3, 4, 1), machine.steps, random.Random(seed).choice, 400))
