--- a/flaxscale/audit/__init__.py
+++ b/flaxscale/audit/__init__.py
@@ -1,1 +1,1 @@
-"""Which manager acted on which versions: stamps, and a manager's own account of what it did under each. Pure."""
+"""Which manager acted under which versions: stamps, and each manager's account of its actions."""
--- a/flaxscale/audit/account.py
+++ b/flaxscale/audit/account.py
@@ -1,9 +1,9 @@
-"""A manager's own account: what it did, in order, under which stamp. On the durable log, bounded, never waited for.
+"""A manager's account: its actions in order, each with the stamp that was in force, on a bounded durable log.
 
-Rows are gathered and written with one write for all of a moment; an answer never waits for them, so that a machine that
-loses its power may lose the last of them: they are `unknown` to who judges, not made up. Past MOST that wait, rows are
-dropped and their count is put down in their place. Of what is written the last KEEP rows are kept, in two halves. An
-account that can't be read is not used and left as it is; a failing disk ends it for this life. Both are said.
+Rows are written in batches and no answer waits for them, so a machine that loses power may lose the last ones. The
+check of the accounts then reports those actions as `unknown`. Beyond MAX_WAITING waiting rows further ones are dropped,
+and a row with their count takes their place. The last KEEP written rows are kept; half of them are removed at a time.
+An account that can't be read is left as it is and not used; a failing disk ends it for this life. Both are logged.
 """
 
 import msgspec
@@ -12,8 +12,8 @@
 from ..store.shapes import decoded
 from .stamp import Stamp
 
-SHAPE = 1
-MOST = 10_000  # rows that wait to be written
+SHAPE = 1  # number of the stored form
+MAX_WAITING = 10_000  # rows that wait to be written
 KEEP = 20_000  # written rows that are kept
 
 
@@ -26,13 +26,15 @@
 
 
 class Stamped(msgspec.Struct, array_like=True, tag="s"):
+    """A stamp that is in force from this time on."""
+
     number: int
     stamp: Stamp
     at: int
 
 
 class Did(msgspec.Struct, array_like=True, tag="d"):
-    """kind: setup, claim, end, rung (key: the set-up's name), answer (key: the viewing's), refusal (key: a trace)."""
+    """An action. kind: setup, claim, end, rung (key: of the set-up), answer (of the viewing) refusal (a trace)."""
 
     kind: str
     key: str
@@ -42,11 +44,15 @@
 
 
 class Dropped(msgspec.Struct, array_like=True, tag="x"):
+    """Stands for rows that were dropped."""
+
     count: int
     at: int
 
 
 class Kept(msgspec.Struct, array_like=True):
+    """A snapshot of the rows."""
+
     shape: int
     rows: list[Began | Stamped | Did | Dropped]
 
@@ -55,16 +61,17 @@
 
 
 class Account:
-    """One writer. put() never raises and never waits; commit() writes."""
+    """The account of one manager. put() never raises and never waits; commit() writes."""
 
     def __init__(self, files):
-        """Raises StoreError, ValueError or OSError where what is there can't be used; nothing of it is changed then."""
+        """Raises StoreError, ValueError or OSError where the stored account can't be used; it is not changed then."""
         self.log = Log(files)
         self.rows, self.waiting, self.dropped, self.lost = rows_in(self.log.found), [], 0, 0
         self.failed = None
 
     def put(self, row):
-        if self.failed is not None or len(self.waiting) >= MOST:
+        """Adds a row to those that wait, or drops it where too many wait or the disk failed."""
+        if self.failed is not None or len(self.waiting) >= MAX_WAITING:
             self.dropped += 1
             self.lost += 1
             return
@@ -74,7 +81,7 @@
         self.waiting.append(row)
 
     def commit(self):
-        """Writes what waits. False where the disk failed: the account ends there, and further rows are counted."""
+        """Writes the waiting rows. False where the disk failed: the account ends, and further rows are only counted."""
         rows, self.waiting = self.waiting, []
         if self.failed is not None or not rows:
             return self.failed is None
@@ -84,7 +91,7 @@
             self.log.commit()
             self.rows += rows
             if len(self.rows) >= KEEP:
-                self.rows = [*heads(self.rows[: -KEEP // 2]), *self.rows[-KEEP // 2 :]]
+                self.rows = [*replacement_rows(self.rows[: -KEEP // 2]), *self.rows[-KEEP // 2 :]]
                 self.log.snapshot(msgspec.msgpack.encode(Kept(SHAPE, self.rows)))
         except OSError as bad:
             self.failed = bad
@@ -94,32 +101,32 @@
 
 
 def rows_since(account, since=0):
-    """Rows of one that is in use, from those at a time on; the lives and stamps before it that they need too."""
+    """Rows of an open account from a time on, with the life and stamp in force before them."""
     rows = [*account.rows, *account.waiting]
     first = next((n for n, row in enumerate(rows) if row.at >= since), len(rows))
-    return [*heads(rows[:first]), *rows[first:]]
+    return [*replacement_rows(rows[:first]), *rows[first:]]
 
 
-def heads(rows):
-    """Of rows that go: the last life and the last stamp, under which what stays was done, and how many are gone."""
-    last, gone = {}, 0
+def replacement_rows(rows):
+    """What replaces removed rows: their last life and stamp, which later rows need, and a Dropped with their count."""
+    last, removed = {}, 0
     for row in rows:
         if isinstance(row, Began):
             last = {Began: row}
         elif isinstance(row, Stamped):
             last[Stamped] = row
-        gone += row.count if isinstance(row, Dropped) else isinstance(row, Did)
-    return [*last.values(), *([Dropped(gone, rows[-1].at)] if gone else ())]
+        removed += row.count if isinstance(row, Dropped) else isinstance(row, Did)
+    return [*last.values(), *([Dropped(removed, rows[-1].at)] if removed else ())]
 
 
 def rows_in(found):
-    """The rows of a store as it was found."""
+    """The rows of a store. found: store.log.Found. ValueError where they can't be decoded."""
     rows = list(decoded(found.snapshot, Kept, SHAPE, "account").rows) if found.snapshot is not None else []
     for seq, content in found.records:
         try:
             rows.append(ROW.decode(content))
         except msgspec.MsgspecError as bad:
-            raise ValueError(f"record {seq} of the account can't be read: {bad}") from None
+            raise ValueError(f"record {seq} of the account can't be decoded: {bad}") from None
     return rows
 
 
@@ -127,8 +134,8 @@
 
 
 def as_plain(row):
-    """A row as plain values, for a judge that shares no code with it."""
-    made = msgspec.structs.asdict(row)
+    """A row as plain values, for checks that share no code with this module."""
+    fields = msgspec.structs.asdict(row)
     if isinstance(row, Stamped):
-        made["stamp"] = msgspec.structs.asdict(row.stamp)
-    return {"what": WHAT[type(row)], **made}
+        fields["stamp"] = msgspec.structs.asdict(row.stamp)
+    return {"what": WHAT[type(row)], **fields}
--- a/flaxscale/store/__init__.py
+++ b/flaxscale/store/__init__.py
@@ -1,1 +1,1 @@
-"""One durable log: records with checksums, group commit, snapshots, compaction. The files are handed in."""
+"""A durable log: records with checksums, group commit, snapshots and compaction. Its owner passes in the files."""
--- a/flaxscale/store/fault_injection.py
+++ b/flaxscale/store/fault_injection.py
@@ -1,4 +1,4 @@
-"""A real folder whose disk is full or slow while a file says so: the lab's, for processes."""
+"""A folder on disk whose writes fail or are slow while a control file says so: for processes of the lab."""
 
 import errno
 import time
@@ -7,13 +7,14 @@
 
 
 class FaultInjectingFiles(Files):
-    """`fault`: a path; what stands there now is `full`, or `slow:MS` for each write and sync, or nothing at all."""
+    """fault: the path of the control file, which holds `full`, or `slow:MS` for each write and sync, or is missing."""
 
     def __init__(self, fault, folder, durable=True):
         self.fault = fault
         super().__init__(folder, durable)
 
-    def suffer(self):
+    def inject_fault(self):
+        """Raises or sleeps as the control file says."""
         try:
             kind, _, value = self.fault.read_text().partition(":")
         except OSError:
@@ -24,9 +25,9 @@
             time.sleep(float(value) / 1000)
 
     def append(self, name, data):
-        self.suffer()
+        self.inject_fault()
         super().append(name, data)
 
     def sync(self, name):
-        self.suffer()
+        self.inject_fault()
         super().sync(name)
--- a/flaxscale/store/faulty.py
+++ b/flaxscale/store/faulty.py
@@ -1,30 +1,32 @@
-"""A disk in memory that fails on purpose: for tests of whatever stands on a store.
+"""A disk in memory that fails on purpose, for tests of code that uses a store.
 
-It remembers what was written and what was synced. crash_at counts steps: each byte written and each other call is
-one. When the count is reached the disk raises Crash and takes nothing more; survivors() then gives the disks that
-a machine may find after such a crash: all that was written, only what was synced, and what was synced with the rest
-gone to zeros.
+It keeps what was written and what was synced. crash_at counts steps: each written byte and each other call is one step.
+When the count is reached the disk raises Crash and accepts nothing more. survivors() then yields the contents that a
+machine may find after such a crash: all that was written, only what was synced, what was synced with the rest as zeros,
+and writes that end early.
 """
 
 import errno
 
 
 class Crash(Exception):
-    """The machine has stopped here."""
+    """The machine crashed at this step."""
 
 
 class FaultyFiles:
+    """Stands in for files.Files."""
+
     def __init__(self, written=None, crash_at=None, room=None):
-        """room: bytes until the disk is full (ENOSPC, with as much written as fitted)."""
+        """room: bytes until the disk is full; then as much as fits is written, and ENOSPC raised."""
         self.written = {name: bytearray(data) for name, data in (written or {}).items()}
         self.synced = {name: bytes(data) for name, data in self.written.items()}
         self.names_synced = dict.fromkeys(self.written)
         self.crash_at, self.steps, self.room, self.failing_sync = crash_at, 0, room, False
-        self.dead, self.lost = False, {}
+        self.crashed, self.lost = False, {}  # lost: {name: [(first, last)]}, ranges that a failed sync lost
 
     def step(self, count=1):
-        """How many of these steps are still taken; raises Crash when none is left and some were wanted."""
-        if self.dead:
+        """How many of these steps are done before the crash. Crash after it."""
+        if self.crashed:
             raise Crash
         if self.crash_at is None or self.steps + count <= self.crash_at:
             self.steps += count
@@ -32,9 +34,10 @@
         taken, self.steps = self.crash_at - self.steps, self.crash_at
         return taken
 
-    def one(self):
+    def single_step(self):
+        """One step that is not a write."""
         if self.step() < 1:
-            self.dead = True
+            self.crashed = True
             raise Crash
 
     def names(self):
@@ -51,7 +54,7 @@
         taken = self.step(max(1, len(data)))
         self.written.setdefault(name, bytearray()).extend(data[:taken])
         if taken < len(data):
-            self.dead = True
+            self.crashed = True
             raise Crash
         if self.room is not None:
             self.room -= len(data)
@@ -59,10 +62,10 @@
             raise OSError(errno.ENOSPC, "no space left on device")
 
     def sync(self, name):
-        self.one()
+        self.single_step()
         begun = len(self.synced.get(name, b""))
         if self.failing_sync:
-            # As Linux has it: the pages count as clean now, so that a later sync says yes and writes none of them.
+            # As on Linux: the pages count as clean now, so that a later sync succeeds and writes none of them.
             self.lost.setdefault(name, []).append((begun, len(self.written[name])))
             raise OSError(errno.EIO, "input/output error")
         arrived = bytearray(self.written[name])
@@ -75,12 +78,12 @@
         pass
 
     def truncate(self, name, size):
-        self.one()
+        self.single_step()
         del self.written[name][size:]
         self.synced[name] = bytes(self.written[name])
 
     def rename(self, old, new):
-        self.one()
+        self.single_step()
         self.lost[new] = self.lost.pop(old, [])
         self.written[new] = self.written.pop(old)
         self.synced[new] = self.synced.pop(old, b"")
@@ -88,17 +91,17 @@
         self.names_synced[new] = None
 
     def remove(self, name):
-        self.one()
+        self.single_step()
         del self.written[name]
         self.synced.pop(name, None)
         self.names_synced.pop(name, None)
 
     def sync_folder(self):
-        self.one()
+        self.single_step()
         self.names_synced.update(dict.fromkeys(self.written))
 
     def survivors(self):
-        """Disks that may be found after the crash."""
+        """Yields {name: bytes} of each disk that may be found after the crash."""
 
         def base(name):
             return self.synced.get(name, b"")
--- a/flaxscale/store/files.py
+++ b/flaxscale/store/files.py
@@ -1,14 +1,14 @@
-"""The few things that a store does to files, so that a test can stand in for the disk."""
+"""The file operations of a store, in one class that tests can replace."""
 
 import os
 import pathlib
 
 
 class Files:
-    """One folder on disk. Names are plain; offsets and sizes are bytes. Errors are OSError."""
+    """One folder on disk. Names have no path; offsets and sizes are bytes. Errors are OSError."""
 
     def __init__(self, folder, durable=True):
-        """durable: False leaves it to the system when bytes reach the disk: for copies that can be had again."""
+        """durable: False makes no sync; the system decides when bytes reach the disk: for replaceable copies."""
         self.durable = durable
         self.folder = pathlib.Path(folder)
         self.folder.mkdir(parents=True, exist_ok=True)
--- a/flaxscale/store/shapes.py
+++ b/flaxscale/store/shapes.py
@@ -1,14 +1,14 @@
-"""What is kept or sent as msgpack under a number of its shape, read back."""
+"""Decoding of msgpack data that carries the number of its shape."""
 
 import msgspec
 
 
 def decoded(data, kind, shape, what):
-    """data as `kind`, a Struct with a field `shape`. ValueError where it is none, or of a shape not known here."""
+    """data as `kind`, a Struct with a field `shape`. ValueError where it can't be decoded or has another shape."""
     try:
         kept = msgspec.msgpack.decode(data, type=kind)
     except msgspec.MsgspecError as bad:
-        raise ValueError(f"no {what} of this program's making: {bad}") from None
+        raise ValueError(f"no {what} that can be decoded: {bad}") from None
     if kept.shape != shape:
-        raise ValueError(f"{what} in shape {kept.shape}, which this program does not know (it knows {shape})")
+        raise ValueError(f"{what} in shape {kept.shape}, which this program can't read (it reads {shape})")
     return kept
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -1,4 +1,4 @@
-"""Stamps, a manager's own account, and the judge that joins it with what boxes saw."""
+"""Stamps, a manager's account, and the check that compares it with the records of boxes."""
 
 import json
 import pathlib
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flaxscale.audit.account import KEEP, MOST, Account, Began, Did, Dropped, Stamped, rows_in
+from flaxscale.audit.account import KEEP, MAX_WAITING, Account, Began, Did, Dropped, Stamped, rows_in
 from flaxscale.audit.stamp import Stamp, Stamps, parse
 from flaxscale.lab.accounts import write_account
 from flaxscale.rules.audit import judge
@@ -22,24 +22,24 @@
 TWO = Stamp("0.2.0", "ab", 8, ("e", 3), None, "cd")
 
 
-class Stamped_(unittest.TestCase):
-    def test_a_stamp_travels_whole_until_its_box_has_answered_then_by_number(self):
+class StampHeaders(unittest.TestCase):
+    def test_a_stamp_is_sent_whole_until_its_box_has_answered_then_by_number(self):
         stamps = Stamps()
         self.assertEqual((1, True), stamps.update(ONE))
         self.assertEqual((1, False), stamps.update(ONE))
         whole = stamps.header_value(5, "a")
         self.assertEqual((1, ONE), parse(whole))
-        self.assertEqual(whole, stamps.header_value(5, "a"))  # nothing came back: whole again
+        self.assertEqual(whole, stamps.header_value(5, "a"))  # no answer: whole again
         stamps.acknowledged(5, "a", whole)
         self.assertEqual("1", stamps.header_value(5, "a"))
-        self.assertEqual((1, ONE), parse(stamps.header_value(5, "b")))  # the box started anew
+        self.assertEqual((1, ONE), parse(stamps.header_value(5, "b")))  # the box restarted
         self.assertEqual((2, True), stamps.update(TWO))
         stamps.acknowledged(5, "a", whole)  # a late answer to the stamp before
         self.assertEqual((2, TWO), parse(stamps.header_value(5, "a")))
 
     @given(st.text(max_size=60))
     @settings(max_examples=200, deadline=None)
-    def test_what_is_no_stamp_is_refused(self, text):
+    def test_an_invalid_stamp_is_refused(self, text):
         try:
             number, whole = parse(text)
         except ValueError:
@@ -47,7 +47,7 @@
         self.assertTrue(text.isascii() and text.partition(";")[0].isdigit() and (whole is None or ";" in text))
 
 
-class Own(unittest.TestCase):
+class OwnAccount(unittest.TestCase):
     def filled(self, files, count):
         account = Account(files)
         account.put(Began("m0", "x", 1))
@@ -58,7 +58,7 @@
                 account.commit()
         return account
 
-    def test_rows_survive_a_crash_at_any_step_from_what_was_written(self):
+    def test_a_crash_at_any_step_leaves_a_prefix_of_the_rows(self):
         whole = FaultyFiles()
         self.filled(whole, 6).commit()
         steps = whole.steps
@@ -72,11 +72,11 @@
                 pass
             for left in disk.survivors():
                 found = rows_in(Log(FaultyFiles(left)).found)
-                self.assertEqual(rows[: len(found)], found)  # a beginning of it, nothing made up
+                self.assertEqual(rows[: len(found)], found)  # a prefix of the rows, and no others
 
-    def test_it_is_bounded_says_what_it_dropped_and_never_raises(self):
+    def test_an_account_is_bounded_counts_dropped_rows_and_never_raises(self):
         account = self.filled(FaultyFiles(), 0)
-        for n in range(MOST + 500):
+        for n in range(MAX_WAITING + 500):
             account.put(Did("end", str(n), 1, 1, n))
         self.assertTrue(account.commit())
         account.put(Did("end", "after", 1, 1, 0))
@@ -88,11 +88,11 @@
                 account.commit()
         account.commit()
         self.assertLessEqual(len(account.rows), KEEP)
-        # What it still has begins with the life and the stamp under which it was done.
+        # The kept rows begin with the life and the stamp under which they were done.
         self.assertEqual([Began, Stamped], [type(row) for row in account.rows[:2]])
         self.assertEqual(account.rows, rows_in(Log(FaultyFiles(account.log.files.written)).found))
 
-    def test_a_full_disk_ends_it_and_a_flipped_byte_is_not_used(self):
+    def test_a_full_disk_ends_an_account_and_a_damaged_one_is_not_used(self):
         account = self.filled(FaultyFiles(room=200), 20)
         self.assertFalse(account.commit())
         account.put(Did("end", "x", 1, 1, 9))
@@ -108,8 +108,8 @@
                 Account(torn)
 
 
-class Judged(unittest.TestCase):
-    """Records of a small day, and the same with one thing wrong."""
+class Checked(unittest.TestCase):
+    """Records of a small day, and the same with one fault each."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -142,12 +142,12 @@
         (self.folder / "box-1-1.jsonl").write_text("".join(json.dumps(row) + "\n" for row in self.box))
         return judge(self.folder)
 
-    def test_both_agree(self):
+    def test_account_and_box_agree(self):
         found = self.judged()
         self.assertEqual(([], 5, 5), (found.findings, found.agreed, found.actions))
         self.assertEqual(2, found.stamps["m0", "x"][2]["list_version"])
 
-    def test_each_fault_is_named_and_what_is_missing_is_not_made_up(self):
+    def test_each_fault_is_named_and_missing_rows_are_reported_as_unknown(self):
         def found(change):
             before = json.dumps([self.own, self.box])
             change()
@@ -156,7 +156,7 @@
             return out
 
         self.assertEqual([("no stamp", "m0.x.1.0")], found(lambda: self.box[2].update(stamp=None)))
-        # A stamp that is taken too late: the box saw the one before.
+        # A stamp that was put in force too late: the box received the one before.
         self.assertEqual([("contradiction", "m0.x.3.0")], found(lambda: self.box[4].update(stamp=1)))
         self.assertEqual([("contradiction", "m0.x.1.0")], found(lambda: self.own.pop(3)))
         self.assertEqual([("unknown", "m0.x.3.0")], found(lambda: self.own.pop()))
@@ -170,7 +170,7 @@
         self.assertEqual([("unknown", "m0.x.0.0")], found(lambda: self.box[5].update(stamp=2)))
         self.assertEqual([("contradiction", "m0.x.0.0")], found(lambda: self.own[5].update(number=2)))
 
-    def test_the_commands_say_it_by_status(self):
+    def test_the_commands_report_findings_by_exit_status(self):
         self.judged()
         done = flaxscale("audit", "day", str(self.folder))
         self.assertEqual(
@@ -190,7 +190,7 @@
 class OnSockets(Rig):
     managers = 2
 
-    async def test_what_is_done_is_stamped_and_put_down_and_survives_its_manager(self):
+    async def test_actions_are_stamped_and_written_to_an_account_that_outlives_its_manager(self):
         for m in (0, 1):
             self.assertEqual("plays", (await self.ask(front=m)).fate)
         front, rows = self.fronts[0], [r for box in self.box_rows.values() for r in box.rows]
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The durable log on a disk that crashes at every byte, fills up, tears and rots."""
+"""The durable log on a disk that crashes at every byte, is full, tears writes or flips bits."""
 
 import random
 import tempfile
@@ -13,13 +13,13 @@
 
 
 def state_of(found):
-    """The state of these tests is the list of all contents; a snapshot is that list joined."""
+    """The state in these tests: the list of all contents. A snapshot is that list joined."""
     before = found.snapshot.split(b"|") if found.snapshot else []
     return before + [content for _, content in found.records]
 
 
 def work(files, acked, tried):
-    """Appends, group commits and snapshots; what commit() returned from is in acked."""
+    """Appends, group commits and snapshots. acked: what commit() acknowledged; tried: all that was appended."""
     log = Log(files)
     state = state_of(log.found)
     for n in range(4):
@@ -35,7 +35,7 @@
 
 
 class Crashes(unittest.TestCase):
-    def test_a_crash_at_every_byte_loses_nothing_acknowledged_and_keeps_no_half(self):
+    def test_a_crash_at_any_byte_loses_nothing_acknowledged_and_leaves_no_partial_record(self):
         whole = FaultyFiles()
         work(whole, [], [])
         self.assertGreater(whole.steps, 500)
@@ -49,7 +49,7 @@
                 self.assertEqual(acked, state[: len(acked)], at)
                 self.assertEqual(tried[: len(state)], state, at)  # whole records in order, or none
 
-    def test_what_survived_goes_on_and_survives_again(self):
+    def test_a_store_continues_after_a_crash_and_keeps_what_survived(self):
         for at in range(0, 900, 37):
             files = FaultyFiles(crash_at=at)
             try:
@@ -62,23 +62,23 @@
                 work(again, acked, [])
                 self.assertEqual(acked, state_of(Log(FaultyFiles(again.written)).found))
 
-    def test_a_full_disk_and_a_sync_that_fails_acknowledge_nothing(self):
-        for break_it in ("room", "failing_sync"):
+    def test_a_full_disk_and_a_failed_sync_acknowledge_nothing(self):
+        for fault in ("room", "failing_sync"):
             files = FaultyFiles()
             log = Log(files)
             log.append(b"good")
             log.commit()
-            setattr(files, break_it, 30 if break_it == "room" else True)
+            setattr(files, fault, 30 if fault == "room" else True)
             log.append(b"bad" * 40)
             with self.assertRaises(OSError):
                 log.commit()
             with self.assertRaises(OSError):
-                log.append(b"more")  # nothing is taken until it has been opened anew
+                log.append(b"more")  # nothing is accepted until the log is opened again
             files.room, files.failing_sync = None, False
             self.assertEqual(b"good", state_of(Log(FaultyFiles(files.written)).found)[0])
 
-    def test_a_sync_that_failed_is_never_taken_for_done(self):
-        """The process is started anew on a machine that went on: what it reads may be in the page cache alone."""
+    def test_data_of_a_failed_sync_is_never_taken_for_durable(self):
+        """After a restart of the process alone, what it reads may be in the page cache only."""
         files = FaultyFiles()
         log = Log(files)
         log.append(b"good")
@@ -91,12 +91,12 @@
         again = Log(files)
         again.append(b"acknowledged")
         again.commit()
-        # Now the machine loses its power: what was read at the start is there, and what was built on it.
+        # Power loss: what was read at the start and what was acknowledged after it must be there.
         for disk in files.survivors():
             state = state_of(Log(FaultyFiles(disk)).found)
             self.assertEqual([b"good", b"acknowledged"], [row for row in state if row != b"unknown"])
 
-    def test_after_a_fault_it_goes_on_from_the_owners_state_and_survives_a_crash_at_each_step(self):
+    def test_it_resumes_from_the_owners_state_after_a_fault_and_survives_a_crash_at_each_step(self):
         for fault in ("room", "failing_sync"):
             for at in range(0, 2_000, 7):
                 files = FaultyFiles(crash_at=at)
@@ -112,7 +112,7 @@
                     with self.assertRaises(OSError):
                         log.commit()
                     with self.assertRaises(OSError):
-                        log.resume(b"|".join(acked))  # it still fails
+                        log.resume(b"|".join(acked))  # the disk still fails
                     files.room, files.failing_sync = None, False
                     log.resume(b"|".join(acked))
                     for content in (b"d", b"e"):
@@ -133,11 +133,11 @@
         for n in range(3):
             log.append(b"tail-%d" % n)
         log.commit()
-        good, dice, missed = state_of(Log(FaultyFiles(files.written)).found), random.Random(5), 0
+        good, random_bit, missed = state_of(Log(FaultyFiles(files.written)).found), random.Random(5), 0
         for name, data in files.written.items():
             for at in range(len(data)):
                 disk = {n: bytearray(d) for n, d in files.written.items()}
-                disk[name][at] ^= 1 << dice.randrange(8)
+                disk[name][at] ^= 1 << random_bit.randrange(8)
                 try:
                     missed += state_of(Log(FaultyFiles(disk)).found) != good
                 except StoreError as bad:
