--- a/flaxscale/members/swim.py
+++ b/flaxscale/members/swim.py
@@ -22,16 +22,16 @@
 
 PERIOD = 5_000  # one probe in each
 ACK_WAIT = 1_500  # for a direct answer; indirect probes have the rest of the period
-INDIRECT_PROBES = 3  # members that are asked to probe for us (the paper's K)
-MAX_INDIRECT_PROBES = 12  # the same where our own probes get lost
+INDIRECT_PROBES = 3  # members that are asked for an indirect probe (the paper's K)
+MAX_INDIRECT_PROBES = 12  # the same where direct probes get lost
 SUSPECT_PERIODS = 3.0  # times log10 of the members, at least this many: until a suspect is declared dead
 RETRANSMIT_FACTOR = 2  # times log2 of the members: how often one update is sent
 SUSPECT_NOTIFIERS = 6  # members that send a suspect its suspicion in one period
 MAX_UPDATES = 14  # in one message
-LOSS_FACTOR = 6.0  # a suspicion lasts longer by so many times our own probe loss
+LOSS_FACTOR = 6.0  # a suspicion lasts longer by so many times the measured probe loss
 LOSS_WEIGHT = 0.1  # of the newest probe in the moving average of probe loss
 MAX_INDIRECT_LOSSES = 2  # probes counted as lost of a member known to be alive only through others
-MAX_UNANSWERED = 8  # unanswered probes remembered for one member until it is heard or dead
+MAX_UNANSWERED = 8  # unanswered probes remembered for one member until a message from it, or its death
 STALL_LIMIT = 2 * PERIOD  # a tick later than this means that this process stalled
 FORGET_AFTER = 600 * PERIOD  # the dead are remembered so long, so that old updates are told from new ones
 
@@ -108,7 +108,7 @@
         self.transmissions, self.changes = {}, []  # transmissions: {name: how often its update was sent}
         self.next_at, self.ticked_at, self.seeds = now, now, ()
         self.stalls = 0  # stalls of this process
-        self.probe_loss = 0.0  # moving average of the share of our direct probes that get lost
+        self.probe_loss = 0.0  # moving average of the share of own direct probes that get lost
         self.unanswered = {}  # {name: unanswered direct probes}, lost if the member is alive
         self.indirect_losses = {}  # {name: those counted as lost on the word of others}
 
@@ -128,7 +128,7 @@
     # Membership
 
     def alive(self):
-        """Names of members that may be given work, our own included."""
+        """Names of members that may be given work, the own one included."""
         return sorted([self.name, *(m.name for m in self.members.values() if m.state in (State.ALIVE, State.SUSPECT))])
 
     def probe_targets(self):
@@ -140,7 +140,7 @@
         return 1 + len(self.probe_targets())
 
     def suspicion_timeout(self):
-        """How long a suspicion lasts: longer where our own probes get lost, as the refutation may be lost as well."""
+        """How long a suspicion lasts: longer where own probes get lost, as the refutation may be lost as well."""
         return round(
             PERIOD
             * max(SUSPECT_PERIODS, SUSPECT_PERIODS * math.log10(self.count() + 1))
@@ -148,7 +148,7 @@
         )
 
     def indirect_probe_count(self):
-        """How many members are asked for an indirect probe: more where our own probes get lost, as theirs do then.
+        """How many members are asked for an indirect probe: more where own probes get lost, as theirs do then.
 
         With three, at a loss of 30% a fifth of all probes end in a false suspicion. With 300 members those suspicions
         and their refutations are more updates than messages carry, so that refutations arrived late and living members
@@ -174,7 +174,7 @@
             self.record_probe(False)
 
     def alive_by_others(self, name):
-        """Others report that a member is alive. Among hundreds of members each is heard directly once in minutes.
+        """Others report that a member is alive. Among hundreds each sends to another directly only once in minutes.
 
         The first few unanswered probes count as loss. Further ones mean that the path to this member is cut, and say
         nothing of the other paths.
@@ -240,7 +240,7 @@
         if whole:
             return (self.me, *(m.update() for m in self.members.values()))
         most = RETRANSMIT_FACTOR * max(1, math.ceil(math.log2(self.count() + 1)))
-        out = [self.me]  # always, so that every receiver knows our address and incarnation
+        out = [self.me]  # always, so that every receiver knows this member's address and incarnation
 
         def priority(item):
             member = self.members.get(item[0])
--- a/flaxscale/versions/table.py
+++ b/flaxscale/versions/table.py
@@ -213,14 +213,18 @@
                 out.append(Straggler(row.name, "settings", row.version_id(), newest, at))
         named = {s.name for s in out}
         for name in sorted(set(alive) | set(suspects)):
-            heard = self.received_at.get(name)
+            received = self.received_at.get(name)
             if name == self.me.name or name in named:
                 continue
-            if name in suspects or heard is not None and now - heard >= SILENT_AFTER:
+            if name in suspects or received is not None and now - received >= SILENT_AFTER:
                 row = self.rows.get(name)
                 out.append(
                     Straggler(
-                        name, "unheard", row.version_id() if row else None, newest, heard if heard is not None else now
+                        name,
+                        "unheard",
+                        row.version_id() if row else None,
+                        newest,
+                        received if received is not None else now,
                     )
                 )
         return out
