--- a/flaxscale/cli/front.py
+++ b/flaxscale/cli/front.py
@@ -15,8 +15,8 @@
 from ..serve.clock import set_wrong
 from ..site.load import SiteError
 from ..site.terms import Sense, read_site
+from ..store.fault_injection import FaultInjectingFiles
 from ..store.files import Files
-from ..store.troubled import TroubledFiles
 from . import ready, service, site_errors
 from .logs import LEVELS, logger
 
@@ -100,7 +100,7 @@
         offset_s, _, rate = clock.partition(":")
         set_wrong(float(offset_s), float(rate or 1))
     member_routes = json.loads(pathlib.Path(via).read_text()) if via else None
-    make_files = functools.partial(TroubledFiles, pathlib.Path(disk_fault)) if disk_fault else Files
+    make_files = functools.partial(FaultInjectingFiles, pathlib.Path(disk_fault)) if disk_fault else Files
     site_terms = Sense(
         settings,
         me,
--- a/flaxscale/front/audit.py
+++ b/flaxscale/front/audit.py
@@ -46,7 +46,7 @@
         """Makes a new stamp if anything that actions depend on has changed."""
         front, catalogue_watch = self.front, self.front.catalogue_watch
         view = ",".join(front.members.alive())
-        number, is_new = self.stamps.take(
+        number, is_new = self.stamps.update(
             Stamp(
                 BUILD,
                 front.settings_digest,
@@ -65,7 +65,7 @@
 
     def stamp_header(self, box, boot):
         """Returns the (name, value) of the stamp header for a request to a box."""
-        return STAMP_HEADER if not self.front.unversioned else "X-Unknown", self.stamps.carried(box, boot)
+        return STAMP_HEADER if not self.front.unversioned else "X-Unknown", self.stamps.header_value(box, boot)
 
     def record(self, kind, key, box=0):
         self.append(Did(kind, key, box, self.stamps.number, now()))
--- a/flaxscale/front/boxes.py
+++ b/flaxscale/front/boxes.py
@@ -156,7 +156,7 @@
 
     def stamp_answered(self, box, boot, stamp_value, answer):
         """Handles the box's reaction to the stamp of a request: accepted, or refused below the box's version floor."""
-        self.owner.audit.stamps.heard(box, boot, stamp_value)
+        self.owner.audit.stamps.acknowledged(box, boot, stamp_value)
         if FLOOR_HEADER in answer.headers:
             self.owner.fleet.refused_by_box(box, answer.headers)
 
--- a/tests/test_inhand.py
+++ b/tests/test_inhand.py
@@ -543,7 +543,7 @@
             await self.until(m, lambda s: s["members"]["members"]["m0"]["state"] == "alive")
         for m in range(3):  # repeated at any manager: the new process stays
             reply = await self.order_drain(m, "m0", life)
-            self.assertEqual((200, "m0 has begun anew since"), (reply.status, json.loads(reply.body)["over"]))
+            self.assertEqual((200, "m0 has restarted since"), (reply.status, json.loads(reply.body)["over"]))
         self.assertEqual(307, (await self.order_drain(2, "m1", "")).status)
         self.assertEqual(404, (await self.order_drain(2, "m9", "")).status)
         self.assertEqual("m0", (await self.get(0))["manager"])
