--- a/flaxscale/catalogued/leases.py
+++ b/flaxscale/catalogued/leases.py
@@ -52,7 +52,7 @@
         found = self.store.found
         for data in ([found.snapshot] if found.snapshot is not None else []) + [data for _, data in found.records]:
             self.load_record(decoded(data, StoredRecord, SHAPE, "state of leases"))
-        self.granter.era(time.time())
+        self.granter.start_era(time.time())
         self.grants_from = self.granter.opened
         self.commit_timer, self.waiters, self.broken = None, [], None
         self.store_retry = StoreRetry(self.resume, self.on_resumed)
@@ -67,7 +67,7 @@
             self.granter.load(stored.data, now())
             self.fence, self.last_acts = Fence(stored.fence), dict(stored.done)
         elif stored.kind == "grant":
-            self.granter.take(stored.data, now())
+            self.granter.replay(stored.data, now())
         elif stored.kind == "fence":
             self.fence = Fence(stored.fence)
         elif stored.kind == "done":
@@ -137,15 +137,15 @@
                     )
                 )
             return
-        self.granter.seen(message.seen)
+        self.granter.observe_token(message.seen)
         replies, new = [], False
         for ask in message.leases:
             if not ask.number:
-                if self.granter.give(ask.piece, message.owner, ask.token, now()):
+                if self.granter.release(ask.piece, message.owner, ask.token, now()):
                     self.put("grant", data=self.granter.record())
                     self.record_event("given", ask.piece, message.owner, ask.token)
                 continue
-            answer = self.granter.ask(ask.piece, message.owner, ask.token, now())
+            answer = self.granter.request(ask.piece, message.owner, ask.token, now())
             if isinstance(answer, Granted):
                 if answer.new:
                     new = True
@@ -179,12 +179,12 @@
     async def perform(self, owner, act):
         """Carries out an act if the fence accepts its token, and records it."""
         task, at = task_of(act.piece), now()
-        self.granter.seen(act.token)
+        self.granter.observe_token(act.token)
         if task not in self.tasks:
             return pb.ActTold(piece=act.piece, number=act.number, refused=f"the duty {task[:40]!r} is not enabled here")
-        if not self.fence.takes(act.piece, act.token, owner):
+        if not self.fence.accepts(act.piece, act.token, owner):
             known_token = self.fence.token(act.piece)
-            self.granter.seen(known_token)
+            self.granter.observe_token(known_token)
             self.record_event("refused", act.piece, owner, act.token)
             return pb.ActTold(piece=act.piece, number=act.number, token=known_token, refused="an outdated lease")
         self.put("fence", fence=self.fence.dump())
@@ -229,8 +229,8 @@
                 token, owner = self.granter.count, f"{OPERATOR}.{request.who[:60]}"
                 # No new holder before the released holder's span ends; `until` stays as it was.
                 self.granter.rows[request.release] = row._replace(owner=owner, token=token)
-                self.granter.note(request.release, "released", owner, token)
-                self.fence.takes(request.release, token, owner)
+                self.granter.add_event(request.release, "released", owner, token)
+                self.fence.accepts(request.release, token, owner)
                 self.put("grant", data=self.granter.record())
                 self.put("fence", fence=self.fence.dump())
                 self.record_event("released", request.release, owner, token)
--- a/flaxscale/catalogued/peaks.py
+++ b/flaxscale/catalogued/peaks.py
@@ -13,7 +13,7 @@
 from ..proto import peaks_pb2_grpc as pb_grpc
 from ..serve.clock import now
 from ..serve.limit import within
-from ..store.latest import Latest
+from ..store.latest import LatestRecord
 from .store_retry import StoreRetry
 from .streams import first_message, read_all
 
@@ -35,7 +35,7 @@
 
     def __init__(self, files, epoch, limits, titles, log, wall=time.time):
         """limits: the catalogue.state.SiteLimits. titles(): the catalogue's present titles. wall(): Unix seconds."""
-        self.store, self.epoch, self.log, self.wall = Latest(files, SNAPSHOT_EVERY), epoch, log, wall
+        self.store, self.epoch, self.log, self.wall = LatestRecord(files, SNAPSHOT_EVERY), epoch, log, wall
         self.rungs, self.packages, self.titles = limits.rungs, tuple(limits.floors), titles
         self.book = PeakBook() if self.store.kept is None else decode(self.store.kept)[1]
         self.managers, self.broken, self.stopped = {}, None, False
--- a/flaxscale/catalogued/service.py
+++ b/flaxscale/catalogued/service.py
@@ -228,7 +228,7 @@
         """Managers that are connected or were lately, as rows for the floor rules."""
         silence_limit = round(LIVING_FACTOR * self.fleet.behind_s * 10_000)
         seen = [
-            floors.Watching(name, w.acked, 0 if name in self.wake_events else now() - w.last_received_at)
+            floors.WatcherVersion(name, w.acked, 0 if name in self.wake_events else now() - w.last_received_at)
             for name, w in sorted(self.watchers.items())
             if w.role == "manager"
         ]
@@ -243,7 +243,7 @@
                 epoch=self.epoch,
                 version=catalogue.committed_version,
                 floor=catalogue.floor,
-                under=floors.shut_out(catalogue.floor, watching) if catalogue.floor else [],
+                under=floors.below_floor(catalogue.floor, watching) if catalogue.floor else [],
                 **more,
             )
 
@@ -267,7 +267,7 @@
             await asyncio.sleep(FLOOR_CHECK_S)
             if self.broken is not None or self.staged_deltas:
                 continue
-            floor = floors.by_rule(
+            floor = floors.automatic_floor(
                 self.commit_times,
                 now(),
                 round(self.fleet.behind_s * 10_000),
@@ -333,7 +333,7 @@
             catalogue.compact()
             return {"records": records, "compacted": True}
         if task == "floors":
-            floor = floors.by_rule(
+            floor = floors.automatic_floor(
                 self.commit_times,
                 now(),
                 round(self.fleet.behind_s * 10_000),
--- a/flaxscale/front/duties.py
+++ b/flaxscale/front/duties.py
@@ -1,7 +1,7 @@
 """Duties that one manager performs for the whole fleet under leases.
 
 The rules about leases (who, when, under which token) are in leases/, the decisions of a duty in leases/duties.py and in
-the modules of its subject (catalogue.plan, members.adopt).
+the modules of its subject (catalogue.plan, members.takeover).
 """
 
 import asyncio
@@ -13,7 +13,7 @@
 
 from ..leases import duties
 from ..leases.holder import Holder
-from ..leases.shares import Fit, eligible, share
+from ..leases.shares import Candidate, eligible, share
 from ..proto import catalogue_pb2 as pb
 from ..serve.clock import now
 from .members import LeaseOutdated, Sessions
@@ -34,7 +34,7 @@
     def __init__(self, front):
         self.front, self.lease_owner = front, f"{front.name}.{front.boot}"
         self.tasks = duties.tasks_of(front.site.duties, front.site.fleet.drift)
-        self.holder, self.turns = Holder(self.lease_owner, front.site_terms.seed, now()), duties.Turns()
+        self.holder, self.turns = Holder(self.lease_owner, front.site_terms.seed, now()), duties.Schedule()
         self.sweeps, self.jobs, self.pending_acts, self.last_act_number, self.timer = {}, set(), {}, 0, None
         self.counts = dict.fromkeys(("granted", "acts", "refused", "failed"), 0)
         self.enabled = False
@@ -61,7 +61,7 @@
         for job in list(self.jobs):
             job.cancel()
         await asyncio.gather(*self.jobs, return_exceptions=True)
-        await self.give_back(self.holder.leave(now()))
+        await self.give_back(self.holder.release_all(now()))
         self.front.catalogue_watch.duties = None
 
     def spawn(self, work):
@@ -75,14 +75,14 @@
         board = self.front.fleet.board
         floor = board.floor()
         return [
-            Fit(row.name, row.full, row.slow, row.behind or row.version < floor, not row.up)
-            for row in board.living(self.front.members.alive())
+            Candidate(row.name, row.full, row.slow, row.behind or row.version < floor, not row.up)
+            for row in board.live_rows(self.front.members.alive())
         ]
 
     def tick(self):
         self.timer = asyncio.get_running_loop().call_later(TICK_INTERVAL_S, self.tick)
         time_now, pieces = now(), duties.pieces_of(self.tasks, self.front.boxes.places)
-        if self.holder.deaf(time_now):
+        if self.holder.granter_silent(time_now):
             self.front.logger.info("leases: no answer from the service, reconnecting")
             self.front.catalogue_watch.reconnect()
         self.front.fleet.update_own_row()
@@ -90,7 +90,7 @@
             share(list(pieces), eligible(self.member_fits())) if self.front.fleet.out_of_service_since is None else {}
         )
         own_pieces = {piece: pieces[piece] for piece, name in shares.items() if name == self.front.name}
-        self.holder.wants(own_pieces, time_now)
+        self.holder.set_wanted(own_pieces, time_now)
         self.turns.forget(own_pieces)
         self.spawn(self.send_requests(time_now))
         for piece, task in own_pieces.items():
@@ -99,11 +99,11 @@
                 self.spawn(self.run_turn(piece, task))
 
     async def send_requests(self, time_now):
-        await self.give_back(self.holder.give(time_now, self.turns.under_way))
+        await self.give_back(self.holder.releases(time_now, self.turns.under_way))
         if requests := self.holder.due(time_now):
             await self.front.catalogue_watch.say(
                 owner=self.lease_owner,
-                seen=self.holder.seen,
+                seen=self.holder.highest_token,
                 leases=[pb.LeaseAsk(piece=piece, token=token, number=number) for piece, token, number in requests],
             )
 
@@ -114,7 +114,7 @@
             )
 
     def set_service_up(self, up):
-        self.holder.source(up, len(self.front.members.alive()), now())
+        self.holder.set_connected(up, len(self.front.members.alive()), now())
 
     def handle_reply(self, reply):
         time_now = now()
@@ -146,7 +146,7 @@
             self.front.logger.info("duty failed", piece=piece, detail=f"{type(error).__name__}: {error}"[:200])
         finally:
             if completed:
-                self.turns.over(piece, now())
+                self.turns.done(piece, now())
             else:
                 self.turns.failed(piece, task, now())
 
@@ -304,9 +304,11 @@
         place = self.front.boxes.places.get(box)
         if place is None:
             return
-        members, sweep = self.front.members, self.sweeps.setdefault(box, duties.Sweep())
+        members, sweep = self.front.members, self.sweeps.setdefault(box, duties.OrphanScan())
         found, alive = await members.call(place, "GET", "/manager/sessions", None, Sessions), members.alive()
-        orphans = sweep.look([(session.key, session.owner, session.epoch) for session in found.sessions], alive, now())
+        orphans = sweep.overdue(
+            [(session.key, session.owner, session.epoch) for session in found.sessions], alive, now()
+        )
         for owner in sorted({orphan.owner for orphan in orphans}):
             keys, pending = (
                 {orphan.key for orphan in orphans if orphan.owner == owner},
@@ -330,7 +332,7 @@
         return {
             "on": self.enabled,
             **self.counts,
-            "seen": self.holder.seen,
+            "seen": self.holder.highest_token,
             "holds": {
                 piece: {"token": held.token, "left_s": (held.until - time_now) / 10_000}
                 for piece, held in sorted(self.holder.wanted.items())
--- a/flaxscale/front/fleet.py
+++ b/flaxscale/front/fleet.py
@@ -11,17 +11,17 @@
 
 import msgspec
 
-from ..audit.account import plain, rows_of_account
+from ..audit.account import as_plain, rows_since
 from ..chance import uniform_from_bytes
 from ..members import wire as members_wire
-from ..members.adopt import keeper_of
-from ..members.ration import full
+from ..members.rate_limit import at_capacity
 from ..members.swim import State
+from ..members.takeover import assigned_manager
 from ..serve.clock import now
 from ..signalling.endpoint import Refusal
-from ..versions import handing
-from ..versions.board import Board
-from ..versions.bringup import BYTES, BringUp, Giver
+from ..versions import transfer
+from ..versions.catchup import BYTES_PER_SECOND, CatchUp, TransferLimit
+from ..versions.table import VersionTable
 from .boxes import FLOOR_HEADER
 
 TICK_INTERVAL_S = 0.25
@@ -41,9 +41,9 @@
     def __init__(self, front):
         self.front, self.enabled = front, False
         self.board, self.catch_up, self.copy_sender = (
-            Board(front.name, front.boot),
-            BringUp(front.name, front.site_terms.seed),
-            Giver(now()),
+            VersionTable(front.name, front.boot),
+            CatchUp(front.name, front.site_terms.seed),
+            TransferLimit(now()),
         )
         self.corrupts_copies = False  # for the lab: damages the copies that it serves
         self.out_of_service_since = None  # since when no new viewings are accepted
@@ -83,7 +83,7 @@
         figures = {
             "list_version": front.box_list.version or 0,
             "settings": front.settings_digest,
-            "full": full(len(front.viewings), front.site.front.held_most, front.gate.rate is not None),
+            "full": at_capacity(len(front.viewings), front.site.front.held_most, front.gate.rate is not None),
             "slow": front.stall_detector.stalled_recently(now()),
         }
         if self.enabled:
@@ -96,13 +96,13 @@
                 "up": front.catalogue_watch.up,
                 "refused": front.catalogue_watch.refused,
             }
-        self.board.mine(**figures)
+        self.board.update_own(**figures)
 
     def attached_rows(self, members):
         if self.front.unversioned:
             return ()
         self.update_own_row()
-        return self.board.rides(members)
+        return self.board.rows_to_send(members)
 
     def full(self):
         """Returns the names of the members that accept nothing more, including this manager if it is full."""
@@ -112,7 +112,7 @@
     def receive_rows(self, rows, sender):
         time_now = now()
         for row in rows:
-            self.board.hear(row, sender, self.boot_of, time_now)
+            self.board.receive(row, sender, self.boot_of, time_now)
 
     def boot_of(self, name):
         member = self.front.members.shell.swim.members.get(name)
@@ -136,19 +136,19 @@
             return
         time_now, alive = now(), self.alive()
         self.update_own_row()
-        newest = self.board.look(alive, time_now)
+        newest = self.board.refresh(alive, time_now)
         self.check_floor(time_now)
         behind_since = self.board.behind_since
         givers = (
             [
                 row.name
-                for row in self.board.living(alive)
-                if row.name != self.front.name and newest is not None and row.at() == newest
+                for row in self.board.live_rows(alive)
+                if row.name != self.front.name and newest is not None and row.version_id() == newest
             ]
             if behind_since is not None
             else ()
         )
-        step = self.catch_up.look(time_now, behind_since, self.board.count_behind(alive), givers)
+        step = self.catch_up.next_step(time_now, behind_since, self.board.count_behind(alive), givers)
         if step.nudge:
             self.counts["nudges"] += 1
             self.front.logger.info("behind: reconnecting to the source", since=time_now - behind_since, newest=newest)
@@ -185,26 +185,26 @@
             result = await self.call(
                 peer, f"/fleet/catalogue?epoch={newest.epoch}&since={since}&from={self.front.name}", FETCH_TIMEOUT_S
             )
-            digests = await self.confirming_digests(peer, newest.epoch, handing.version_of(result.body))
-            epoch, messages = handing.taken(result.body, follower, newest.epoch, digests)
+            digests = await self.confirming_digests(peer, newest.epoch, transfer.version_of(result.body))
+            epoch, messages = transfer.verify(result.body, follower, newest.epoch, digests)
             self.front.catalogue_watch.apply_handed_over(epoch, messages)
             applied = True
             self.counts["brought_up"] += 1
             logger.info("caught up", by=peer, epoch=epoch, version=follower.version, bytes=len(result.body))
         except ValueError as error:
-            is_damaged = getattr(error, "lied", False)
+            is_damaged = getattr(error, "bad_copy", False)
             self.counts["copies_refused"] += 1
             logger.warning("copy refused", by=peer, why=str(error)[:300])
         except OSError as error:
             logger.info("not caught up", by=peer, detail=str(error)[:200])
         finally:
-            self.catch_up.came(now(), applied, is_damaged)
+            self.catch_up.finished(now(), applied, is_damaged)
 
     async def confirming_digests(self, giver, epoch, version):
         """Returns {name: digest} of other members that have a version, from their rows or by asking them."""
         rows = [
             row
-            for row in self.board.living(self.alive())
+            for row in self.board.live_rows(self.alive())
             if row.name not in (giver, self.front.name) and row.epoch == epoch
         ]
         digests = {row.name: row.digest for row in rows if row.version == version and row.digest}
@@ -214,7 +214,7 @@
             with contextlib.suppress(OSError, ValueError):
                 result = await self.call(name, f"/fleet/digest?epoch={epoch}&version={version}", DIGEST_TIMEOUT_S)
                 digests[name] = msgspec.json.decode(result.body, type=int)
-        return handing.Told(digests, len(self.alive()) > 2)
+        return transfer.PeerDigests(digests, len(self.alive()) > 2)
 
     # Version floor
 
@@ -224,7 +224,7 @@
         epoch, _, rest = headers[FLOOR_HEADER].partition(";")
         floor, _, unknown = rest.partition(";")
         if unknown:
-            self.front.audit.stamps.unknown(box)
+            self.front.audit.stamps.forget(box)
             return
         if not self.enabled or not floor.isdigit():
             return
@@ -294,7 +294,7 @@
         others = list(self.alive())
         for _ in range(FLOOR_NOTIFIERS):
             if others:
-                others.remove(notifier := keeper_of(f"floor-{box}", others))
+                others.remove(notifier := assigned_manager(f"floor-{box}", others))
                 if notifier == self.front.name:
                     return True
         return False
@@ -362,7 +362,7 @@
                 raise Refusal(404, "this version is unknown here")
             exchange.respond(200, [("Content-Type", "application/json")], str(known).encode())
             return
-        if not self.copy_sender.may(now()):
+        if not self.copy_sender.try_begin(now()):
             raise Refusal(503, "too many copies are being sent, retry", [("Retry-After", "1")])
         self.spawn(self.give_copy(exchange, args))
 
@@ -370,12 +370,12 @@
         catalogue_watch, since, copy = self.front.catalogue_watch, args.get("since", ""), b""
         since = int(since) if since.isdecimal() else -1
         try:
-            copy = handing.changes(
+            copy = transfer.encode_changes(
                 self.front.name, catalogue_watch.follower, catalogue_watch.recent, args.get("epoch"), since
             )
             if copy is None:
                 parts = []
-                for part in handing.whole(self.front.name, catalogue_watch.follower, ENCODE_BATCH):
+                for part in transfer.encode_whole(self.front.name, catalogue_watch.follower, ENCODE_BATCH):
                     parts.append(part)
                     await asyncio.sleep(0)
                 copy = b"".join(parts)
@@ -385,18 +385,18 @@
             exchange.respond(200, [("Content-Type", "application/msgpack")], copy)
         finally:  # counted as being sent for as long as the transfer may take
             size = len(copy or b"")
-            asyncio.get_running_loop().call_later(size / BYTES, self.copy_sender.done, size)
+            asyncio.get_running_loop().call_later(size / BYTES_PER_SECOND, self.copy_sender.done, size)
 
     def send_account(self, exchange, args):
         account = self.front.audit.account
         if account is None:
             raise Refusal(404, "this manager keeps no account")
         since = int(args["since"]) if args.get("since", "").isdigit() else 0
-        rows = rows_of_account(account, since)
+        rows = rows_since(account, since)
         exchange.respond(
             200,
             [("Content-Type", "application/x-ndjson")],
-            b"".join(msgspec.json.encode(plain(row)) + b"\n" for row in rows),
+            b"".join(msgspec.json.encode(as_plain(row)) + b"\n" for row in rows),
         )
 
     # State report
@@ -421,7 +421,7 @@
                     **row._asdict(),
                     "heard_s_ago": 0
                     if row.name == self.front.name
-                    else (time_now - self.board.heard_at.get(row.name, time_now)) / 10_000,
+                    else (time_now - self.board.received_at.get(row.name, time_now)) / 10_000,
                 }
                 for row in [self.board.me, *self.board.rows.values()]
             },
--- a/flaxscale/front/front.py
+++ b/flaxscale/front/front.py
@@ -20,7 +20,7 @@
 from ..http1 import fields
 from ..http1.server import Limits
 from ..interface import Outcome
-from ..members import orders
+from ..members import drain_requests
 from ..recovery.boxes import BoxTable
 from ..recovery.keys import Answered, InProgress, KeyTable, PayloadMismatch
 from ..run import AnswerKind, Runner
@@ -143,7 +143,7 @@
             from ..catalogued.watch import CatalogueWatch  # loading gRPC is slow, and most tests do not need it
 
             catalogue_files = (
-                make_files(f"{state_folder}/catalogue-{self.name}", lasting=False) if state_folder else None
+                make_files(f"{state_folder}/catalogue-{self.name}", durable=False) if state_folder else None
             )
             self.catalogue_watch = CatalogueWatch(
                 catalogue_address,
@@ -159,7 +159,7 @@
         self.peaks = FrontPeaks(
             self,
             catalogue_address,
-            make_files(f"{state_folder}/peaks-{self.name}", lasting=False)
+            make_files(f"{state_folder}/peaks-{self.name}", durable=False)
             if state_folder and catalogue_address
             else None,
         )
@@ -174,7 +174,7 @@
         )
         self.journal = FrontJournal(self, make_files(f"{state_folder}/keys-{self.name}") if state_folder else None)
         self.audit = FrontAudit(
-            self, make_files(f"{state_folder}/account-{self.name}", lasting=False) if state_folder else None
+            self, make_files(f"{state_folder}/account-{self.name}", durable=False) if state_folder else None
         )
         self.gate = Gate(site_terms.seed, self.site.front.gate)
         self.stall_detector = StallDetector(now(), round(LAG_PROBE_INTERVAL_S * 10_000))
@@ -396,7 +396,7 @@
         raise Refusal(404, "the path is /whep/TITLE, /whip/TITLE or /session/NAME")
 
     def drain(self, exchange):
-        """Handles an operator's order to drain this manager or another one; members.orders decides on the reply."""
+        """Handles an operator's order to drain this manager or another; members.drain_requests decides on the reply."""
         self.check_operator(exchange, "only SIGTERM drains it")
         if exchange.request.method == "GET":  # lists the managers and boot ids that an order may name
             boots = {name: self.members.member(name).boot for name in self.members.alive() if name != self.name}
@@ -408,7 +408,7 @@
             return
         args = dict(parse_qsl(exchange.request.target.partition("?")[2]))
         manager_name = args.get("manager", "")
-        step = orders.drain(
+        step = drain_requests.resolve(
             manager_name,
             args.get("life", ""),
             self.name,
@@ -422,26 +422,26 @@
             "others": len(self.members.alive()) - 1,
         }
         match step:
-            case orders.Leave(already_stopping):
+            case drain_requests.DrainSelf(already_stopping):
                 if self.begin_stop is None:
                     raise Refusal(409, "this process can't be stopped by a request")
                 exchange.respond(202, [("Content-Type", "application/json")], json.dumps(report).encode())
                 if not already_stopping:
                     self.logger.info("drain asked for", viewings=len(self.viewings))
                     self.begin_stop()
-            case orders.SendOn(serves):
+            case drain_requests.Forward(serves):
                 raise Refusal(
                     307,
                     f"{manager_name} handles this request",
                     [("Location", f"http://{serves}{exchange.request.target}")],
                 )
-            case orders.Over(reason):
+            case drain_requests.LifeEnded(reason):
                 exchange.respond(
                     200,
                     [("Content-Type", "application/json")],
                     json.dumps({"manager": manager_name, "over": reason}).encode(),
                 )
-            case orders.Unknown():
+            case drain_requests.UnknownManager():
                 raise Refusal(404, f"no manager {manager_name[:60]!r} is known here")
 
     def check_operator(self, exchange, alternative):
@@ -906,7 +906,7 @@
 
     def tell_peers(self, server, kb):
         if self.members.shell:
-            self.members.shell.tell(server, kb)
+            self.members.shell.report_load(server, kb)
 
     def log(self, text):
         self.logger.warning("runner", text=text)
--- a/flaxscale/front/members.py
+++ b/flaxscale/front/members.py
@@ -7,17 +7,25 @@
 import msgspec
 
 from .. import interface
-from ..members.adopt import PAUSE, TRIES, Course, Session, keeper_of, plan, whom
-from ..members.ration import Ration
+from ..members.rate_limit import ClaimRateLimit
 from ..members.seats import SeatBook
-from ..members.shell import MemberShell
 from ..members.swim import State
+from ..members.takeover import (
+    MAX_FAILURES,
+    RETRY_DELAY,
+    ClaimRetry,
+    Session,
+    assigned_manager,
+    next_manager,
+    plan_claims,
+)
+from ..members.udp import MemberSocket
 from ..serve.clock import now
 from ..store.shapes import decoded
 from .boxes import FLOOR_HEADER
 
 BOX_TIMEOUT_S = 1.0
-RETRY_PAUSE_S = PAUSE / 10_000  # pause before the same claims are sent again
+RETRY_PAUSE_S = RETRY_DELAY / 10_000  # pause before the same claims are sent again
 MAX_CONCURRENT_QUERIES = 32  # boxes queried at the same time
 MAX_MOVED_SESSIONS = 10_000  # sessions for which the claiming manager is remembered
 MEDIA_GRACE_MS = 3000  # a session without media is not an orphan before this age
@@ -115,7 +123,7 @@
         self.shell, self.jobs, self.enabled = None, {}, members
         self.taken_over = self.claims_refused = 0
         self.seat_claims = SeatBook(now(), round(front.site.fleet.lease_ms * 10))
-        self.ration, self.query_limit = Ration(now()), asyncio.Semaphore(MAX_CONCURRENT_QUERIES)
+        self.ration, self.query_limit = ClaimRateLimit(now()), asyncio.Semaphore(MAX_CONCURRENT_QUERIES)
         self.last_reserved, self.reserve_timer = None, None
         self.moved_to = OrderedDict()  # {session name: manager that claimed the session}
         # keys of claims without an answer yet; those of them whose session has ended since
@@ -124,7 +132,7 @@
     async def start(self, host, port, service_address):
         front = self.front
         if self.enabled:
-            self.shell = MemberShell(
+            self.shell = MemberSocket(
                 front.name,
                 "%s:%d" % service_address,
                 front.boot,
@@ -191,7 +199,7 @@
         """Returns the address of the manager to ask for a viewing; None if there is no better one than this manager."""
         if self.shell is None:
             return None
-        manager = whom(name, self.front.name, self.alive(), self.moved_to.get(name), asked)
+        manager = next_manager(name, self.front.name, self.alive(), self.moved_to.get(name), asked)
         return manager and self.service_address(manager)
 
     def available_members(self):
@@ -203,7 +211,7 @@
         """Returns the service address of another manager for a viewer that can't be accepted here."""
         others = [name for name in self.alive() if name != self.front.name]
         others = [name for name in others if name in self.available_members()] or others
-        return self.service_address(keeper_of(str(viewer), others)) if others else None
+        return self.service_address(assigned_manager(str(viewer), others)) if others else None
 
     def members_changed(self, changes):
         if self.shell.swim is not None:
@@ -235,14 +243,14 @@
 
     def nothing_left(self, box):
         """Records that a box holds no unknown sessions of an earlier boot."""
-        self.seat_claims.said(box)
+        self.seat_claims.box_reported(box)
         self.update_reservations()
 
     def is_away(self, manager):
         return manager == self.front.name or manager not in self.alive()
 
     async def take_over_from_box(self, box, manager):
-        retry_course, release_replicas = Course(), self.front.release_replicas
+        retry_course, release_replicas = ClaimRetry(), self.front.release_replicas
         while self.may_take_over(manager) and (place := self.front.boxes.places.get(box)) is not None:
             try:
                 async with self.query_limit:
@@ -252,7 +260,9 @@
                         self.call(place, "GET", f"/manager/sessions?of={manager}", None, Sessions),
                         release_replicas.pending_for(manager, box),
                     )
-                    pause = retry_course.came(await self.claim(box, place, manager, found, retry_course.rank, pending))
+                    pause = retry_course.answered(
+                        await self.claim(box, place, manager, found, retry_course.rank, pending)
+                    )
             except (OSError, asyncio.TimeoutError, msgspec.MsgspecError) as error:
                 pause = retry_course.failed()
                 self.front.logger.info(
@@ -325,7 +335,7 @@
             )
             for session in rows.values()
         ]
-        takeover_plan = plan(
+        takeover_plan = plan_claims(
             sessions, manager, front.name, [front.name] if is_own else self.available_members(), rank, pending
         )
         wanted = sorted(
@@ -339,7 +349,7 @@
             if not allowed:
                 if capacity <= 0:
                     break  # the next manager in the order takes them
-                await asyncio.sleep(self.ration.wait() / 10_000)
+                await asyncio.sleep(self.ration.wait_time() / 10_000)
                 continue
             claims, unresolved = self.select_claims(box, wanted[:allowed], is_own, rows, cookies)
             wanted, retry_later = wanted[allowed:], retry_later or unresolved
@@ -401,7 +411,7 @@
         audit = self.front.audit
         self.claims_in_flight.update(claims)
         try:
-            for attempt in range(TRIES):
+            for attempt in range(MAX_FAILURES):
                 try:
                     for key in claims:
                         audit.record("claim", key, box)
@@ -409,7 +419,7 @@
                     answer = await self.call(
                         place, "POST", "/manager/adopt", {"claims": claims}, ClaimsAnswer, [stamp, *lease_headers]
                     )
-                    audit.stamps.heard(box, place.boot, stamp[1])
+                    audit.stamps.acknowledged(box, place.boot, stamp[1])
                     granted = [key for key in answer.granted if key in claims]
                     # the box refuses the order if another manager has the session
                     for key in self.ended_while_claiming.intersection(granted):
@@ -461,7 +471,7 @@
             "taken_over": self.taken_over,
             "claims_refused": self.claims_refused,
             "not_heard_yet": len(self.seat_claims.reserved(now()).boxes),
-            "stood_still": self.shell.swim.stood,
+            "stood_still": self.shell.swim.stalls,
             "messages_refused": self.shell.refused,
         }
 
@@ -472,7 +482,7 @@
     def rejoin(self):
         """Returns to service after leaving: informs the others and claims its own sessions that were not taken over."""
         if self.shell:
-            self.shell.back()
+            self.shell.rejoin()
         self.take_over(self.front.name)
 
     async def stop(self):
--- a/flaxscale/front/retries.py
+++ b/flaxscale/front/retries.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from ..members.ration import Looks
+from ..members.rate_limit import LookupQueue
 from ..recovery import key_registry
 from ..serve.clock import now
 from ..signalling.endpoint import Refusal
@@ -40,7 +40,7 @@
     def __init__(self, front):
         self.front, self.known_attempts, self.lookups = front, key_registry.KeyRegistry(), {}
         # slot_waiters: {viewing id: Future set when its look-up may start}
-        self.lookup_slots, self.slot_waiters = Looks(), {}
+        self.lookup_slots, self.slot_waiters = LookupQueue(), {}
         self.counts = dict.fromkeys(("looked_up", "found", "joined", "not_heard", "waited"), 0)
 
     def stop(self):
@@ -120,14 +120,14 @@
                 front.refuse_unplaced(viewing, OUTCOME_UNKNOWN)
         finally:
             self.slot_waiters.pop(viewing.id, None)
-            next_waiter = self.slot_waiters.get(self.lookup_slots.over(viewing.id))
+            next_waiter = self.slot_waiters.get(self.lookup_slots.leave(viewing.id))
             if next_waiter is not None and not next_waiter.done():
                 next_waiter.set_result(True)
 
     async def wait_for_slot(self, viewing, deadline):
         """Waits for a free look-up slot; False if the deadline passes first."""
         package = self.front.title_entry(viewing.offer.title, viewing.offer.sends)[1]
-        if self.lookup_slots.come(viewing.id, self.front.site.packages[package].value if package else 0):
+        if self.lookup_slots.enter(viewing.id, self.front.site.packages[package].value if package else 0):
             return True
         self.counts["waited"] += 1
         granted = self.slot_waiters[viewing.id] = asyncio.get_running_loop().create_future()
