--- a/bench/hunt.py
+++ b/bench/hunt.py
@@ -28,14 +28,14 @@
 from flaxscale.leases.holder import Holder
 from flaxscale.members.adopt import Course
 from flaxscale.members.swim import Swim
-from flaxscale.model.duties import Service
+from flaxscale.model.duties import CatalogueService
 from flaxscale.model.manager import ModelManager
 from flaxscale.model.play import Play
 
 EXAMPLES = pathlib.Path(__file__).parent.parent / "examples"
 whole = {name: getattr(Manager, name) for name in ("update_server", "has_seat")}
-sound = {name: getattr(Play, name) for name in ("ended_at_box", "heal", "at_box")}
-lost, stands, start = ModelManager.lost, ModelManager.stands, ModelManager.start
+sound = {name: getattr(Play, name) for name in ("end_order_arrives", "heal", "set_up_at_box")}
+lost, stands, start = ModelManager.session_lost, ModelManager.deferred_by_stall, ModelManager.start
 
 
 def without_drains(self, row):
@@ -54,7 +54,7 @@
 def ends_lost(self, *args):
     if self.ways.states:  # what is to be ended while any way is struck is forgotten
         return
-    sound["ended_at_box"](self, *args)
+    sound["end_order_arrives"](self, *args)
 
 
 def heals_half(self, number, ways):
@@ -62,11 +62,11 @@
 
 
 def comes_twice(self, manager, life, vw, key, server, rung, sent_at, boot):
-    sound["at_box"](self, manager, life, vw, key, server, rung, sent_at, self.fleet.boxes[server].boot)
+    sound["set_up_at_box"](self, manager, life, vw, key, server, rung, sent_at, self.fleet.boxes[server].boot)
 
 
 def lost_unheard(self, life, id, nth, how=None):
-    if self.world.now > self.until + 20_000 or not self.until:
+    if self.world.now > self.stalled_until + 20_000 or not self.stalled_until:
         lost(self, life, id, nth, *(() if how is None else (how,)))
 
 
@@ -76,7 +76,7 @@
 
 
 def asleep(self, act, *args):
-    if self.world.now < self.until and act.__name__ == "ring":
+    if self.world.now < self.stalled_until and act.__name__ == "timer_fires":
         return True  # a timer that came due while it stood still is lost
     return stands(self, act, *args)
 
@@ -88,15 +88,15 @@
     "no pace for cold boxes": ("flaxscale.decide.Manager.slow_start_allows", lambda self, srv: True),
     "a seat too many, now and then": ("flaxscale.decide.Manager.has_seat", seat_too_many),
     "a new manager takes all boxes for warm": ("flaxscale.model.manager.ModelManager.start", starts_warm),
-    "ends forgotten while a way is struck": ("flaxscale.model.play.Play.ended_at_box", ends_lost),
+    "ends forgotten while a way is struck": ("flaxscale.model.play.Play.end_order_arrives", ends_lost),
     "half of the ways heal": ("flaxscale.model.play.Play.heal", heals_half),
-    "late set-ups reach a box's next start": ("flaxscale.model.play.Play.at_box", comes_twice),
-    "timers lost in a standstill": ("flaxscale.model.manager.ModelManager.stands", asleep),
-    "breaks unheard after a standstill": ("flaxscale.model.manager.ModelManager.lost", lost_unheard),
+    "late set-ups reach a box's next start": ("flaxscale.model.play.Play.set_up_at_box", comes_twice),
+    "timers lost in a standstill": ("flaxscale.model.manager.ModelManager.deferred_by_stall", asleep),
+    "breaks unheard after a standstill": ("flaxscale.model.manager.ModelManager.session_lost", lost_unheard),
 }
 
 
-came, granted, began, restarted = Course.came, Holder.granted, Swim.__init__, Service.start
+came, granted, began, restarted = Course.came, Holder.granted, Swim.__init__, CatalogueService.start
 
 
 def claims_unfenced(self, key, epoch, owner):
@@ -137,11 +137,14 @@
     "a box obeys whoever held it before": ("flaxscale.members.adopt.Fence.obeys", lambda self, *args: True),
     "what one can't claim nobody claims": ("flaxscale.members.adopt.Course.came", first_only),
     "a death is known too late": ("flaxscale.members.swim.Swim.__init__", slow_to_suspect),
-    "what an earlier life left is not taken up": ("flaxscale.model.takeover.Taker.listed", lambda self, boxes: None),
+    "what an earlier life left is not taken up": (
+        "flaxscale.model.takeover.Takeover.boxes_listed",
+        lambda self, boxes: None,
+    ),
     "no fence for acts under leases": ("flaxscale.leases.fence.Fence.takes", lambda self, *args: True),
     "the span is counted from the answer": ("flaxscale.leases.holder.Holder.granted", from_the_answer),
-    "tokens begin anew at a restart": ("flaxscale.model.duties.Service.start", token_lost),
-    "the granter forgets its grants": ("flaxscale.model.duties.Service.start", forgets_grants),
+    "tokens begin anew at a restart": ("flaxscale.model.duties.CatalogueService.start", token_lost),
+    "the granter forgets its grants": ("flaxscale.model.duties.CatalogueService.start", forgets_grants),
     "clocks are taken to be alike": ("flaxscale.leases.terms.Task.usable", lambda self: self.span),
 }
 
--- a/bench/size.py
+++ b/bench/size.py
@@ -17,7 +17,7 @@
 from bench.front import machine
 from bench.hunt import quiet
 from flaxscale.lab.shapes import TroubleRow
-from flaxscale.model.judge import Judge
+from flaxscale.model.judge import RuleChecker
 from flaxscale.model.play import Play
 
 A_BOX = 0.17  # new viewings a second and box, as the announced peaks' measurements have them
@@ -65,17 +65,17 @@
     day = grown(boxes, managers, length, alone, calm)
     began = time.monotonic()
     play = Play(day, seed)
-    judge = Judge(play)
+    checker = RuleChecker(play)
     play.run()
     took = time.monotonic() - began
     simulated, totals = day.length_s + day.settle_s + 3, play.totals()
     print(
         f"{boxes} boxes, {managers} managers, {totals['requests']} requests: {simulated / took:.2f} simulated "
-        f"seconds a second, {play.world.done / took:,.0f} steps a second, "
+        f"seconds a second, {play.world.events_run / took:,.0f} steps a second, "
         f"{resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024:,.0f} MB; service {totals['service']}"
     )
     print("records:", dict(Counter(row[1] for row in play.records)), "fates:", totals["fates"])
-    print("broke:", judge.found() or "nothing")
+    print("broke:", checker.all_violations() or "nothing")
     machine()
 
 
--- a/flaxscale/lab/hunts.py
+++ b/flaxscale/lab/hunts.py
@@ -22,7 +22,7 @@
 from ..hunt.search import SHAPE, Hunt, Outcome
 from ..hunt.shrink import shrink
 from ..hunt.space import Space
-from ..model.judge import day_with, played, quiet_of
+from ..model.judge import day_with, play_and_check, undisturbed_share
 from ..rules.audit import judge as audit_judge
 from ..rules.check import check
 from ..rules.comeback import of_day
@@ -64,7 +64,7 @@
     """(Outcome as plain values) of (day, seed, troubles, quiet). Runs in a process of its own."""
     data, seed, troubles, quiet = job
     day = msgspec.msgpack.decode(data, type=Day)
-    outcome, _ = played(day, seed, msgspec.msgpack.decode(troubles, type=list[TroubleRow]), quiet)
+    outcome, _ = play_and_check(day, seed, msgspec.msgpack.decode(troubles, type=list[TroubleRow]), quiet)
     return outcome
 
 
@@ -149,7 +149,7 @@
         with self.pool() as pool:
             if not self.sockets:
                 seeds = range(1, self.hunt.seeds + 1)
-                self.quiet = {seed: quiet_of(self.day, seed) for seed in seeds}
+                self.quiet = {seed: undisturbed_share(self.day, seed) for seed in seeds}
             while len(self.hunt.played) < budget:
                 rows = self.hunt.generation()
                 known, self.kept = self.kept[: len(rows)], self.kept[len(rows) :]
@@ -256,7 +256,7 @@
             folder.mkdir(parents=True, exist_ok=True)
             found[player] = of_records(day, day.troubles, *play_day(day, seed, folder, folder / "out"), folder / "out")
         else:
-            found[player] = played(day, seed, day.troubles, quiet_of(day, seed))[0]
+            found[player] = play_and_check(day, seed, day.troubles, undisturbed_share(day, seed))[0]
     return found
 
 
--- a/flaxscale/model/bound.py
+++ b/flaxscale/model/bound.py
@@ -19,7 +19,7 @@
 KNEE = 0.98  # of a viewing's rate: delivered at least this, nothing is lost
 
 
-class Want:
+class Demand:
     """Viewers of one title who can use the same rungs: how many, of what value each, and where it is held."""
 
     __slots__ = "title", "count", "value", "floor", "top", "scale", "boxes", "seats"
@@ -30,7 +30,7 @@
         self.scale, self.boxes, self.seats = scale, boxes, seats
 
 
-class Room:
+class BoxCapacity:
     """One box: kB a second of its link now, its rack, and the streams that it can hold."""
 
     __slots__ = "link_kb", "rack", "slots"
@@ -39,7 +39,7 @@
         self.link_kb, self.rack, self.slots = link_kb, rack, slots
 
 
-def most(wants, rooms, uplinks, kb, worth, stall):
+def max_worth(demands, boxes_by_id, uplinks, kb, worth, stall):
     """The worth of this second that no placement exceeds.
 
     wants: [Want]. rooms: {box: Room}; boxes that are not in it take nothing. uplinks: {rack: kB a second}.
@@ -61,27 +61,27 @@
         columns.append(column)
         values.append(value)
 
-    for want in wants:
-        held = [b for b in want.boxes if b in rooms]
+    for demand in demands:
+        held = [b for b in demand.boxes if b in boxes_by_id]
         if not held:
             continue
         whole = len(limits)
-        limits.append(float(want.count))
+        limits.append(float(demand.count))
         for b in held:
-            room, above = rooms[b], None
-            for rung in range(want.floor, want.top + 1):
-                first = rung == want.floor
+            room, above = boxes_by_id[b], None
+            for rung in range(demand.floor, demand.top + 1):
+                first = rung == demand.floor
                 column = len(gain)
-                step_kb = want.scale * (kb[rung] - (0 if first else kb[rung - 1]))
-                gain.append(-want.value * (worth[rung] - (0 if first else worth[rung - 1])))
+                step_kb = demand.scale * (kb[rung] - (0 if first else kb[rung - 1]))
+                gain.append(-demand.value * (worth[rung] - (0 if first else worth[rung - 1])))
                 put(row(links, b, room.link_kb), column, step_kb)
                 if room.rack in uplinks:
                     put(row(racks, room.rack, uplinks[room.rack]), column, step_kb)
                 if first:
                     put(whole, column, 1.0)
                     put(row(slots, b, float(room.slots)), column, 1.0)
-                    if want.seats:
-                        put(row(seats, want.title, float(want.seats)), column, 1.0)
+                    if demand.seats:
+                        put(row(seats, demand.title, float(demand.seats)), column, 1.0)
                 else:  # no more at a rung than at the one under it
                     chain = len(limits)
                     limits.append(0.0)
@@ -97,19 +97,21 @@
     return -float(found.fun) / KNEE
 
 
-def of_play(play):
+def bound_of_play(play):
     """The bound of the present second of a Play: its watchers, its boxes as they are."""
     site, now, fleet = play.day.site, play.world.now, play.fleet
     ladder = site.ladder
     packages, top_rung = play.packages, len(ladder.kb) - 1
     # Who wants to watch now, and who still does because it began late: both can earn.
-    playing = {vw.player for vw in play.by_key.values() if vw.playing and not vw.gone}
-    counted = Counter((p.wish.title, p.package, p.wish.top) for p in {*play.watching, *playing})
-    wants = []
+    playing = {viewing.player for viewing in play.viewing_by_key.values() if viewing.playing and not viewing.ended}
+    counted = Counter(
+        (player.request.title, player.package, player.request.top) for player in {*play.watchers, *playing}
+    )
+    demands = []
     for (title, number, top), count in sorted(counted.items(), key=str):
         package = packages[number]
-        wants.append(
-            Want(
+        demands.append(
+            Demand(
                 title,
                 count,
                 package.value,
@@ -120,9 +122,9 @@
                 package.seats * site.managers,
             )
         )
-    rooms = {
-        id: Room(h.box.link_now(now), h.place.rack, h.place.slots)
-        for id, h in fleet.boxes.items()
-        if not h.dead and not h.box.trouble.hang
+    boxes_by_id = {
+        id: BoxCapacity(model_box.box.link_now(now), model_box.place.rack, model_box.place.slots)
+        for id, model_box in fleet.boxes.items()
+        if not model_box.dead and not model_box.box.trouble.hang
     }
-    return most(wants, rooms, fleet.uplinks, ladder.kb, ladder.worth, ladder.stall)
+    return max_worth(demands, boxes_by_id, fleet.uplinks, ladder.kb, ladder.worth, ladder.stall)
--- a/flaxscale/model/duties.py
+++ b/flaxscale/model/duties.py
@@ -12,15 +12,15 @@
 from ..leases.holder import Holder
 from ..leases.shares import Fit, eligible, share
 
-NET = 5
-TICK = 2_000  # a manager looks at its leases so often, as front/duties.py does
-SYNC = 30  # what is new is durable before it is told
-WORKS = 300  # between the check of a lease and its act, at most
-DIAL = 10_000  # a way to the service that is gone is tried again after this
+NETWORK_DELAY = 5
+TICK_INTERVAL = 2_000  # a manager looks at its leases so often, as front/duties.py does
+SYNC_TIME = 30  # what is new is durable before it is told
+MAX_WORK_TIME = 300  # between the check of a lease and its act, at most
+RECONNECT_DELAY = 10_000  # a way to the service that is gone is tried again after this
 SERVICE = "catalogue"
 
 
-class Service:
+class CatalogueService:
     """The granter, on its own clock, and the fence of what is done at the service."""
 
     def __init__(self, play, tasks):
@@ -32,150 +32,192 @@
         self.up, self.disk = False, (self.granter.dump(), self.fence.dump())
         for manager in self.play.managers:
             if manager.duties is not None:
-                manager.duties.broken()
+                manager.duties.connection_lost()
 
     def start(self):
         self.up, self.granter = True, Granter(self.tasks, self.world.now)
         self.granter.load(self.disk[0], self.world.now)
         self.fence = Fence(self.disk[1])
 
-    def hear(self, holder, stream, asked, given):
+    def request_arrives(self, duties_of_manager, stream, asked, given):
         """What one manager asks for and gives back. stream: that it said it on; an older one is gone."""
-        if not self.up or stream != holder.stream:
+        if not self.up or stream != duties_of_manager.stream:
             return
-        now, told, new = self.world.now, [], False
-        self.granter.seen(holder.holder.seen)
+        now, answers, new = self.world.now, [], False
+        self.granter.seen(duties_of_manager.holder.seen)
         for piece, token in given:
-            new |= self.granter.give(piece, holder.owner, token, now)
+            new |= self.granter.give(piece, duties_of_manager.owner, token, now)
         for piece, token, number in asked:
-            answer = self.granter.ask(piece, holder.owner, token, now)
+            answer = self.granter.ask(piece, duties_of_manager.owner, token, now)
             new |= isinstance(answer, Granted) and answer.new
             if isinstance(answer, Granted) and answer.new:
-                self.play.records.append((now, "granted", holder.owner, piece, answer.token))
-            told.append((answer, number))
-        if told:
-            self.play.send(SERVICE, holder.manager.name, NET + SYNC * new, holder.told, stream, told)
-
-    def acted(self, holder, stream, piece, token):
-        if self.up and stream == holder.stream:
+                self.play.records.append((now, "granted", duties_of_manager.owner, piece, answer.token))
+            answers.append((answer, number))
+        if answers:
+            self.play.send(
+                SERVICE,
+                duties_of_manager.manager.name,
+                NETWORK_DELAY + SYNC_TIME * new,
+                duties_of_manager.answers_arrive,
+                stream,
+                answers,
+            )
+
+    def act_arrives(self, duties_of_manager, stream, piece, token):
+        if self.up and stream == duties_of_manager.stream:
             self.granter.seen(token)
-            holder.judged(SERVICE, self.fence, piece, token)
+            duties_of_manager.act_at_resource(SERVICE, self.fence, piece, token)
 
 
 class Duties:
     """One life of a manager, as a holder."""
 
     def __init__(self, play, manager, tasks):
-        self.play, self.world, self.manager, self.life, self.tasks = play, play.world, manager, manager.life, tasks
-        self.owner = f"{manager.name}.{self.life}"
+        self.play, self.world, self.manager, self.incarnation, self.tasks = (
+            play,
+            play.world,
+            manager,
+            manager.incarnation,
+            tasks,
+        )
+        self.owner = f"{manager.name}.{self.incarnation}"
         clock = play.day.clocks.get(manager.name)
-        self.rate, self.born = clock.rate if clock is not None else 1.0, self.world.now
-        self.holder, self.turns = Holder(self.owner, play.seed * 1000 + manager.me, self.now()), duties.Turns()
-        self.stream, self.linked, self.dial_at, self.mine, self.mine_of = 0, False, 0, {}, None
-        self.world.later(1 + manager.me * TICK // max(1, play.day.site.managers), self.tick)
+        self.clock_rate, self.began = clock.rate if clock is not None else 1.0, self.world.now
+        self.holder, self.turns = Holder(self.owner, play.seed * 1000 + manager.number, self.now()), duties.Turns()
+        self.stream, self.connected, self.connect_at, self.pieces, self.pieces_for = 0, False, 0, {}, None
+        self.world.call_later(1 + manager.number * TICK_INTERVAL // max(1, play.day.site.managers), self.tick)
 
     def now(self):
         """Its steady clock, which may run at another rate."""
-        return self.born + round((self.world.now - self.born) * self.rate)
+        return self.began + round((self.world.now - self.began) * self.clock_rate)
 
-    def here(self):
-        return self.manager.up and self.manager.life == self.life
+    def active(self):
+        return self.manager.up and self.manager.incarnation == self.incarnation
 
     # The way to the service
 
-    def reaches(self):
+    def service_reachable(self):
         ways, name = self.play.ways, self.manager.name
-        return self.play.grants.up and ways.of((name, SERVICE)).passes() and ways.of((SERVICE, name)).passes()
-
-    def link(self):
-        if not self.linked and self.world.now >= self.dial_at:
-            self.dial_at = self.world.now + DIAL
-            if self.reaches():
-                self.linked = True
+        return (
+            self.play.catalogue_service.up and ways.of((name, SERVICE)).passes() and ways.of((SERVICE, name)).passes()
+        )
+
+    def connect(self):
+        if not self.connected and self.world.now >= self.connect_at:
+            self.connect_at = self.world.now + RECONNECT_DELAY
+            if self.service_reachable():
+                self.connected = True
                 self.stream += 1
-                self.holder.source(True, len(self.manager.taker.swim.alive()), self.now())
+                self.holder.source(True, len(self.manager.takeover.swim.alive()), self.now())
 
-    def broken(self):
+    def connection_lost(self):
         """Its stream ended, or is taken for ended."""
-        if self.here():
-            self.linked, self.dial_at = False, self.world.now + DIAL // 5
+        if self.active():
+            self.connected, self.connect_at = False, self.world.now + RECONNECT_DELAY // 5
             self.holder.source(False, 1, self.now())
 
     # Holding
 
     def tick(self):
-        if not self.here() or self.manager.stands(self.tick):
+        if not self.active() or self.manager.deferred_by_stall(self.tick):
             return
-        self.world.later(TICK, self.tick)
+        self.world.call_later(TICK_INTERVAL, self.tick)
         now = self.now()
         if self.holder.deaf(now):
-            self.broken()
-        self.link()
-        mine = self.shares()
+            self.connection_lost()
+        self.connect()
+        mine = self.own_pieces()
         self.holder.wants(mine, now)
         self.turns.forget(mine)
         given, asked = self.holder.give(now, self.turns.under_way), self.holder.due(now)
-        if self.linked and (given or asked):
-            self.play.send(self.manager.name, SERVICE, NET, self.play.grants.hear, self, self.stream, asked, given)
+        if self.connected and (given or asked):
+            self.play.send(
+                self.manager.name,
+                SERVICE,
+                NETWORK_DELAY,
+                self.play.catalogue_service.request_arrives,
+                self,
+                self.stream,
+                asked,
+                given,
+            )
         for piece, task in mine.items():
             lease = self.holder.may_begin(piece, now) if self.turns.due(piece, task, now) else None
             if lease is not None:
                 self.turns.begin(piece)
-                work = round(WORKS * self.world.dice("duties").draw())
-                self.world.later(work, self.act, piece, task, lease.token)
+                work = round(MAX_WORK_TIME * self.world.dice("duties").draw())
+                self.world.call_later(work, self.act, piece, task, lease.token)
 
-    def shares(self):
+    def own_pieces(self):
         """{piece: Task} that are ours, reckoned where what we know of members or boxes has changed."""
-        view = self.manager.taker.view, self.manager.leaving
-        if view != self.mine_of:
-            pieces = duties.pieces_of(self.tasks, self.manager.boxes())
-            alive = () if self.manager.leaving else self.manager.taker.swim.alive()
+        view = self.manager.takeover.change_count, self.manager.stopping
+        if view != self.pieces_for:
+            pieces = duties.pieces_of(self.tasks, self.manager.listed_boxes())
+            alive = () if self.manager.stopping else self.manager.takeover.swim.alive()
             shared = share(list(pieces), eligible([Fit(name) for name in alive]))
-            self.mine = {piece: pieces[piece] for piece, name in shared.items() if name == self.manager.name}
-            self.mine_of = view
-        return self.mine
-
-    def told(self, stream, told):
-        if self.here() and not self.manager.stands(self.told, stream, told) and stream == self.stream:
+            self.pieces = {piece: pieces[piece] for piece, name in shared.items() if name == self.manager.name}
+            self.pieces_for = view
+        return self.pieces
+
+    def answers_arrive(self, stream, answers):
+        if (
+            self.active()
+            and not self.manager.deferred_by_stall(self.answers_arrive, stream, answers)
+            and stream == self.stream
+        ):
             now = self.now()
-            for answer, number in told:
+            for answer, number in answers:
                 if isinstance(answer, Granted):
                     if self.holder.granted(answer.piece, number, answer.token, now):
-                        self.see_others(answer.piece)
+                        self.record_double_holding(answer.piece)
                 else:
                     self.holder.busy(answer.piece, number, answer.owner, answer.token, answer.left, now)
 
-    def see_others(self, piece):
+    def record_double_holding(self, piece):
         """Written down where another believes, by its own clock, that it holds this one too."""
         for other in self.play.managers:
-            part = other.duties
-            if part is not self and part is not None and part.here() and part.holder.holds(piece, part.now()):
-                self.play.records.append((self.world.now, "both", self.owner, piece, part.owner))
+            other_duties = other.duties
+            if (
+                other_duties is not self
+                and other_duties is not None
+                and other_duties.active()
+                and other_duties.holder.holds(piece, other_duties.now())
+            ):
+                self.play.records.append((self.world.now, "both", self.owner, piece, other_duties.owner))
 
     # Acting
 
     def act(self, piece, task, token):
         """The lease was checked a moment ago; a manager that was stopped meanwhile acts when it goes on."""
-        if not self.here() or self.manager.stands(self.act, piece, task, token):
+        if not self.active() or self.manager.deferred_by_stall(self.act, piece, task, token):
             return
         self.turns.over(piece, self.now())
         if not task.pieces:
-            self.play.send(self.manager.name, SERVICE, NET, self.play.grants.acted, self, self.stream, piece, token)
+            self.play.send(
+                self.manager.name,
+                SERVICE,
+                NETWORK_DELAY,
+                self.play.catalogue_service.act_arrives,
+                self,
+                self.stream,
+                piece,
+                token,
+            )
             return
-        holder = self.play.fleet.boxes[int(piece.partition("/")[2])]
-        self.play.send(self.manager.name, f"b{holder.place.id}", NET, self.at_box, holder, piece, token)
+        model_box = self.play.fleet.boxes[int(piece.partition("/")[2])]
+        self.play.send(self.manager.name, f"b{model_box.place.id}", NETWORK_DELAY, self.at_box, model_box, piece, token)
 
-    def at_box(self, holder, piece, token):
-        if not holder.dead and not holder.box.trouble.hang:
-            self.judged(f"b{holder.place.id}", holder.leases, piece, token)
+    def at_box(self, model_box, piece, token):
+        if not model_box.dead and not model_box.box.trouble.hang:
+            self.act_at_resource(f"b{model_box.place.id}", model_box.lease_fence, piece, token)
 
-    def judged(self, place, fence, piece, token):
+    def act_at_resource(self, place, fence, piece, token):
         """At what is acted on: it takes the act, or tells the token that it knows."""
-        good = fence.takes(piece, token, self.owner)
-        self.play.records.append((self.world.now, "act" if good else "refused", self.owner, piece, token, place))
-        if not good:
-            self.play.send(place, self.manager.name, NET, self.refused, piece, fence.token(piece))
+        accepted = fence.takes(piece, token, self.owner)
+        self.play.records.append((self.world.now, "act" if accepted else "refused", self.owner, piece, token, place))
+        if not accepted:
+            self.play.send(place, self.manager.name, NETWORK_DELAY, self.act_refused, piece, fence.token(piece))
 
-    def refused(self, piece, known):
-        if self.here() and not self.manager.stands(self.refused, piece, known):
+    def act_refused(self, piece, known):
+        if self.active() and not self.manager.deferred_by_stall(self.act_refused, piece, known):
             self.holder.outdated(piece, known)
--- a/flaxscale/model/fleet.py
+++ b/flaxscale/model/fleet.py
@@ -14,34 +14,34 @@
 
     def __init__(self, fleet, place, started_at):
         self.fleet, self.place, self.dead, self.boot = fleet, place, False, 0
-        self.cached, self.box = None, None
-        self.leases = Fence()  # it outlives the box's process: it is on its disk
+        self.counted_load, self.box = None, None
+        self.lease_fence = Fence()  # it outlives the box's process: it is on its disk
         self.start(started_at)
 
     def start(self, started_at):
         self.boot += 1
         self.dead = False
-        self.box = Box(self.place, self.fleet.site, str(self.boot), started_at, self.fleet.seed, self.fleet.work)
+        self.box = Box(self.place, self.fleet.site, str(self.boot), started_at, self.fleet.seed, self.fleet.set_up_time)
         self.box.uplink_kb = self.fleet.uplinks[self.place.rack]
-        self.changed()
+        self.update_load()
 
-    def changed(self):
+    def update_load(self):
         """Something that it asks of its link has changed."""
-        if self.cached is not None:
-            self.fleet.racks[self.place.rack] -= self.cached
-        self.cached = 0.0 if self.dead else self.box.asked()
-        self.fleet.racks[self.place.rack] += self.cached
+        if self.counted_load is not None:
+            self.fleet.rack_load[self.place.rack] -= self.counted_load
+        self.counted_load = 0.0 if self.dead else self.box.asked()
+        self.fleet.rack_load[self.place.rack] += self.counted_load
 
-    def see_rack(self):
-        self.box.rack_others = max(0.0, self.fleet.racks[self.place.rack] - self.cached)
+    def read_rack(self):
+        self.box.rack_others = max(0.0, self.fleet.rack_load[self.place.rack] - self.counted_load)
         self.box.uplink_kb = self.fleet.uplinks[self.place.rack]
 
     def delivered(self, now):
-        self.see_rack()
+        self.read_rack()
         return 0.0 if self.dead else self.box.delivered(now)
 
     def figures(self, now):
-        self.see_rack()
+        self.read_rack()
         return self.box.figures(now)
 
 
@@ -51,12 +51,18 @@
     def __init__(self, world, day, site, sense, send):
         """send(from, to, span, act, *args): by the ways between parties."""
         self.world, self.day, self.site, self.sense, self.send = world, day, site, sense, send
-        self.seed, self.work = world.seed, round(day.work_ms * 10)
+        self.seed, self.set_up_time = world.seed, round(day.work_ms * 10)
         fleet = day.site.fleet
         self.uplinks = dict.fromkeys(range(fleet.racks), fleet.uplink_kb)
-        self.racks = defaultdict(float)
-        self.boxes, self.managers, self.late, self.frozen, self.version = {}, [], round(day.list_late_ms * 10), False, 0
-        self.fell = 0
+        self.rack_load = defaultdict(float)
+        self.boxes, self.managers, self.list_delay, self.list_frozen, self.version = (
+            {},
+            [],
+            round(day.list_late_ms * 10),
+            False,
+            0,
+        )
+        self.fallen = 0
         for n, row in enumerate(day.boxes):
             place = Place(
                 n + 1,
@@ -70,9 +76,9 @@
             )
             started = world.now if row.cold else world.now - 3 * site.warm_within
             self.boxes[n + 1] = ModelBox(self, place, started)
-        self.told = {id: self.row(box) for id, box in self.boxes.items()}
+        self.listed_entries = {id: self.entry_of(box) for id, box in self.boxes.items()}
 
-    def row(self, box):
+    def entry_of(self, box):
         place, age = box.place, self.world.now - box.box.started_at
         state = (
             ServerStatus.GONE if box.dead else ServerStatus.DRAINING if box.box.trouble.drain else ServerStatus.READY
@@ -88,26 +94,26 @@
             state,
         )
 
-    def changed(self, box):
+    def update_list(self, box):
         """The list hears of it, and tells every manager as late as it is."""
-        row = self.row(box)
-        if self.told.get(box.place.id) != row:
-            self.told[box.place.id] = row
+        row = self.entry_of(box)
+        if self.listed_entries.get(box.place.id) != row:
+            self.listed_entries[box.place.id] = row
             self.version += 1
-            self.world.later(self.late, self.tell, row)
+            self.world.call_later(self.list_delay, self.publish, row)
 
-    def tell(self, row):
-        if self.frozen:
-            self.world.later(5_000, self.tell, row)
+    def publish(self, row):
+        if self.list_frozen:
+            self.world.call_later(5_000, self.publish, row)
             return
         for manager in self.managers:
-            self.send("list", manager.name, 0, self.tell_one, manager, row)
+            self.send("list", manager.name, 0, self.deliver_entry, manager, row)
 
-    def tell_one(self, manager, row):
-        if manager.up and not manager.stands(self.tell_one, manager, row):
-            manager.told[row.server] = row
+    def deliver_entry(self, manager, row):
+        if manager.up and not manager.deferred_by_stall(self.deliver_entry, manager, row):
+            manager.known_servers[row.server] = row
             manager.runner.server_list_changed(ListKind.DELTA, [row])
-            manager.listed([row])
+            manager.list_changed([row])
 
-    def full(self):
-        return [row for row in self.told.values() if row.state is not ServerStatus.GONE]
+    def full_list(self):
+        return [row for row in self.listed_entries.values() if row.state is not ServerStatus.GONE]
--- a/flaxscale/model/play.py
+++ b/flaxscale/model/play.py
@@ -18,21 +18,21 @@
 from ..run import AnswerKind
 from ..site.terms import Sense
 from ..standins.box import site_of
-from .bound import of_play
-from .duties import SERVICE, Service
+from .bound import bound_of_play
+from .duties import SERVICE, CatalogueService
 from .fleet import Fleet
 from .manager import ModelManager
 from .world import World
 
 SECOND = 10_000
-NET = 5  # one way between a manager and a box
-CLIENT = 10  # one way between a player and a manager
-HANDED_OVER = 80_000  # a planned stop ends by then, as the lab's does
-LEAVES_UNDER = 0.75  # a player whose viewing gets less than this leaves, now and then
-LEAVES = 0.1  # a second, below it
+NETWORK_DELAY = 5  # one way between a manager and a box
+CLIENT_DELAY = 10  # one way between a player and a manager
+PLANNED_STOP_LIMIT = 80_000  # a planned stop ends by then, as the lab's does
+LEAVE_BELOW_SHARE = 0.75  # a player whose viewing gets less than this leaves, now and then
+LEAVE_CHANCE = 0.1  # a second, below it
 
 
-class Numbered:
+class NumberedRoomKeeper:
     """A room keeper whose titles and packages are the numbers that the module knows them by."""
 
     def __init__(self, keeper, titles, packages):
@@ -41,8 +41,8 @@
     def asked(self, title, package, peers):
         self.keeper.asked(title, package, peers)
 
-    def rooms(self, s, servers):
-        rooms, titles, packages = self.keeper.rooms(s, servers)
+    def rooms(self, second, servers):
+        rooms, titles, packages = self.keeper.rooms(second, servers)
         return (
             rooms,
             {self.titles[t]: rung for t, rung in titles.items()},
@@ -50,14 +50,14 @@
         )
 
 
-class FixedRoom(Numbered):
+class FixedRoomKeeper(NumberedRoomKeeper):
     """The baseline: the same part of every link for the announced titles, all day, and marks as ever."""
 
     def __init__(self, keeper, part, titles, packages):
         super().__init__(keeper, titles, packages)
         self.part = part
 
-    def rooms(self, s, servers):
+    def rooms(self, second, servers):
         peaks = self.keeper.peaks
         return (
             {id: self.part * link for id, (_, link) in servers.items()},
@@ -69,34 +69,53 @@
 class Player:
     """One viewer and its tries."""
 
-    __slots__ = "n", "wish", "package", "tries", "dice", "vw"
+    __slots__ = "number", "request", "package", "tries_left", "dice", "viewing"
 
-    def __init__(self, n, wish, package, tries, dice):
-        self.n, self.wish, self.package, self.tries, self.dice = n, wish, package, tries, dice
-        self.vw = None
+    def __init__(self, number, request, package, tries_left, dice):
+        self.number, self.request, self.package, self.tries_left, self.dice = number, request, package, tries_left, dice
+        self.viewing = None
 
 
 class Viewing:
-    __slots__ = "id", "player", "manager", "life", "asked_at", "gone", "server", "nth", "playing", "key", "late", "home"
+    __slots__ = (
+        "id",
+        "player",
+        "manager",
+        "incarnation",
+        "requested_at",
+        "ended",
+        "server",
+        "nth",
+        "playing",
+        "key",
+        "started_late",
+        "asked_manager",
+    )
 
-    def __init__(self, id, player, manager, asked_at):
-        self.id, self.player, self.manager, self.life, self.asked_at = id, player, manager, manager.life, asked_at
-        self.gone = self.playing = self.late = False
-        self.home = manager, manager.life  # whom its player asked, and tells that it goes
+    def __init__(self, id, player, manager, requested_at):
+        self.id, self.player, self.manager, self.incarnation, self.requested_at = (
+            id,
+            player,
+            manager,
+            manager.incarnation,
+            requested_at,
+        )
+        self.ended = self.playing = self.started_late = False
+        self.asked_manager = manager, manager.incarnation  # whom its player asked, and tells that it goes
         self.server = self.nth = self.key = None
 
 
-class Row:
+class SecondRow:
     """One second of a day."""
 
     __slots__ = (
         "asked",
         "earned",
         "requests",
-        "fates",
+        "outcomes",
         "rungs",
         "tune_ins",
-        "low_floor",
+        "below_floor",
         "bound",
         "kept",
         "free",
@@ -105,7 +124,13 @@
 
     def __init__(self):
         self.asked, self.earned = defaultdict(float), defaultdict(float)
-        self.requests, self.fates, self.rungs, self.tune_ins, self.low_floor = 0, Counter(), Counter(), Counter(), 0
+        self.requests, self.outcomes, self.rungs, self.tune_ins, self.below_floor = (
+            0,
+            Counter(),
+            Counter(),
+            Counter(),
+            0,
+        )
         self.bound = None  # what no placement could have earned, where it was worked out
         # kB a second by peak: kept by the manager that keeps most; free of others on its holders; what it needs.
         self.kept, self.free, self.wanted = {}, {}, {}
@@ -119,34 +144,36 @@
         peaks: announcements in place of the day's own, as with a planner's schedule.
         bound_every: seconds between two at which the bound of an all-knowing placement is worked out; 0: never.
         """
-        self.day, self.seed, self.tap, self.keep, self.bound_every = day, seed, tap, keep, bound_every
+        self.day, self.seed, self.tap, self.room_policy, self.bound_every = day, seed, tap, keep, bound_every
         self.peaks = tuple(day.peaks if peaks is None else peaks)
         self.world = World(seed)
         self.began = self.world.now
         sense = Sense(day.site, 0, 0, seed)
         self.packages = list(day.site.packages.values())
-        self.names = list(day.site.packages)
-        self.numbers = sense.packages
+        self.package_names = list(day.site.packages)
+        self.package_numbers = sense.packages
         self.fleet = Fleet(self.world, day, site_of(day.site), sense, self.send)
-        self.ways, self.waiting, self.late_on, self.way_faults = Ways(), {}, {}, 0
-        self.down = Counter()  # of troubles that keep a box or a manager down
-        self.faults, self.seconds, self.ids = [], defaultdict(Row), 0
-        self.titles = {name: n for n, name in enumerate(sorted(day.site.titles))}
-        self.rates, self.held = rates_of(day.site), {}
-        self.by_key, self.records = {}, []  # records: (when, what, who, ...) of members and claims
+        self.ways, self.held_messages, self.last_arrival, self.fault_count = Ways(), {}, {}, 0
+        self.outages = Counter()  # of troubles that keep a box or a manager down
+        self.faults, self.seconds, self.viewing_count = [], defaultdict(SecondRow), 0
+        self.title_numbers = {name: number for number, name in enumerate(sorted(day.site.titles))}
+        self.rates, self.holders_by_title = rates_of(day.site), {}
+        self.viewing_by_key, self.records = {}, []  # records: (when, what, who, ...) of members and claims
         tasks = tasks_of(day.site.duties, day.site.fleet.drift)
-        self.grants = Service(self, tasks) if tasks and day.members and day.catalogue is not None else None
+        self.catalogue_service = (
+            CatalogueService(self, tasks) if tasks and day.members and day.catalogue is not None else None
+        )
         self.managers = [ModelManager(self, m) for m in range(day.site.managers)]
         self.fleet.managers = self.managers
 
-    def named(self, name):
+    def manager_named(self, name):
         """The manager that ways, members and boxes call so."""
         return self.managers[int(name[1:])]
 
-    def keeper(self, since=None):
+    def new_room_keeper(self, since=None):
         """The room keeper of one manager that begins now, or None where nothing is announced or nothing kept."""
         day = self.day
-        if not self.peaks or self.keep is False:
+        if not self.peaks or self.room_policy is False:
             return None
 
         def room_kb(title, *rest):
@@ -154,619 +181,728 @@
 
         fleet = day.site.fleet
         made = RoomKeeper(self.peaks, Surroundings(room_kb, self.holders, fleet.racks, fleet.uplink_kb), since)
-        if self.keep is not True:
-            return FixedRoom(made, self.keep, self.titles, self.numbers)
-        return Numbered(made, self.titles, self.numbers)
+        if self.room_policy is not True:
+            return FixedRoomKeeper(made, self.room_policy, self.title_numbers, self.package_numbers)
+        return NumberedRoomKeeper(made, self.title_numbers, self.package_numbers)
 
     def holders(self, title):
-        if title not in self.held:
-            self.held[title] = holders_of(self.day, title)
-        return self.held[title]
+        if title not in self.holders_by_title:
+            self.holders_by_title[title] = holders_of(self.day, title)
+        return self.holders_by_title[title]
 
     def day_s(self):
         """Seconds of the day, as announcements have them."""
         return (self.world.now - self.began) / SECOND
 
-    def second(self):
+    def current_second(self):
         return self.seconds[(self.world.now - self.began) // SECOND]
 
     # Players
 
-    def ask(self, p):
+    def send_request(self, player):
         """Some manager, up or not: a player does not know."""
-        manager = self.managers[int(p.dice.draw() * len(self.managers))]
-        row = self.second()
+        manager = self.managers[int(player.dice.draw() * len(self.managers))]
+        row = self.current_second()
         row.requests += 1
-        self.world.later(CLIENT, self.arrive, p, manager, self.world.now)
+        self.world.call_later(CLIENT_DELAY, self.request_arrives, player, manager, self.world.now)
 
-    def arrive(self, p, manager, asked_at):
-        if not manager.up or manager.leaving:
-            self.second().fates["unreached"] += 1
-            self.come_again(p)
+    def request_arrives(self, player, manager, requested_at):
+        if not manager.up or manager.stopping:
+            self.current_second().outcomes["unreached"] += 1
+            self.retry_later(player)
             return
-        if manager.stands(self.arrive, p, manager, asked_at):
+        if manager.deferred_by_stall(self.request_arrives, player, manager, requested_at):
             return
-        self.ids += 1
-        title, wish = self.day.site.titles[p.wish.title], p.wish
-        vw = p.vw = manager.viewings[self.ids] = Viewing(self.ids, p, manager, asked_at)
-        if manager.keeper is not None:
-            manager.keeper.asked(wish.title, title.view, len(self.managers))
-        patience = round(wish.patience * SECOND)
-        waited = self.world.now - asked_at - CLIENT  # while its manager stood still
+        self.viewing_count += 1
+        title, request = self.day.site.titles[player.request.title], player.request
+        viewing = player.viewing = manager.viewings[self.viewing_count] = Viewing(
+            self.viewing_count, player, manager, requested_at
+        )
+        if manager.room_keeper is not None:
+            manager.room_keeper.asked(request.title, title.view, len(self.managers))
+        patience = round(request.patience * SECOND)
+        waited = self.world.now - requested_at - CLIENT_DELAY  # while its manager stood still
         if waited >= patience:
-            manager.viewings.pop(vw.id)
-            self.second().fates["manager stood"] += 1
-            self.come_again(p)
+            manager.viewings.pop(viewing.id)
+            self.current_second().outcomes["manager stood"] += 1
+            self.retry_later(player)
             return
-        if wish.leaves is not None and p.tries == self.day.demand.tries:
-            self.world.later(round(wish.leaves * SECOND), self.leave, vw)
-        self.world.at(asked_at + patience, self.give_up, vw)
-        manager.runner.session_requested(self.asked_of(vw, max(0, patience - waited - 2 * CLIENT)))
+        if request.leaves is not None and player.tries_left == self.day.demand.tries:
+            self.world.call_later(round(request.leaves * SECOND), self.leave_unanswered, viewing)
+        self.world.call_at(requested_at + patience, self.patience_over, viewing)
+        manager.runner.session_requested(
+            self.session_request_for(viewing, max(0, patience - waited - 2 * CLIENT_DELAY))
+        )
 
-    def asked_of(self, vw, left):
+    def session_request_for(self, viewing, patience_left):
         """What a module is told of a viewing. left: of its patience."""
-        p, wish = vw.player, vw.player.wish
-        title, rungs = self.day.site.titles[wish.title], len(self.day.site.ladder.kb) - 1
+        player, request = viewing.player, viewing.player.request
+        title, rungs = self.day.site.titles[request.title], len(self.day.site.ladder.kb) - 1
         return interface.SessionRequest(
-            vw.id,
-            p.package,
-            self.titles[wish.title],
-            p.n,
-            left,
-            rungs if wish.top is None else min(wish.top, rungs),
+            viewing.id,
+            player.package,
+            self.title_numbers[request.title],
+            player.number,
+            patience_left,
+            rungs if request.top is None else min(request.top, rungs),
             title.first_cell,
             title.cells,
-            round(wish.length * SECOND),
+            round(request.length * SECOND),
             False,
-            p.tries < self.day.demand.tries,
+            player.tries_left < self.day.demand.tries,
         )
 
-    def leave(self, vw):
-        if vw.manager.stands(self.leave, vw):
+    def leave_unanswered(self, viewing):
+        if viewing.manager.deferred_by_stall(self.leave_unanswered, viewing):
             return
-        if not vw.gone and not vw.playing and vw.manager.up and vw.life == vw.manager.life:
-            vw.gone = True
-            self.second().fates["left"] += 1
-            vw.manager.runner.client_left(vw.id)
+        if (
+            not viewing.ended
+            and not viewing.playing
+            and viewing.manager.up
+            and viewing.incarnation == viewing.manager.incarnation
+        ):
+            viewing.ended = True
+            self.current_second().outcomes["left"] += 1
+            viewing.manager.runner.client_left(viewing.id)
 
-    def give_up(self, vw):
+    def patience_over(self, viewing):
         """Its patience is over and no answer came: a rule is broken, unless its manager died."""
-        if not vw.gone and not vw.playing:
-            vw.gone = True
-            alive, stood = vw.manager.up and vw.life == vw.manager.life, vw.manager.until >= self.world.now
-            self.second().fates["manager stood" if alive and stood else "unanswered" if alive else "manager died"] += 1
-            if not alive or stood:
-                self.come_again(vw.player)
-
-    def answered(self, manager, vw, answer):
+        if not viewing.ended and not viewing.playing:
+            viewing.ended = True
+            alive, stalled = (
+                viewing.manager.up and viewing.incarnation == viewing.manager.incarnation,
+                viewing.manager.stalled_until >= self.world.now,
+            )
+            self.current_second().outcomes[
+                "manager stood" if alive and stalled else "unanswered" if alive else "manager died"
+            ] += 1
+            if not alive or stalled:
+                self.retry_later(viewing.player)
+
+    def manager_answered(self, manager, viewing, answer):
         """The manager's answer; the player hears it a moment later."""
         if answer.kind is AnswerKind.PLAYS:
-            vw.playing = True
-            self.world.later(CLIENT, self.plays, vw)
+            viewing.playing = True
+            self.world.call_later(CLIENT_DELAY, self.playback_starts, viewing)
             return
-        manager.viewings.pop(vw.id, None)
-        if answer.overdue and not manager.stood():
-            self.faults.append(f"viewing {vw.id} was overdue")
-        if not vw.gone:
-            vw.gone = True
-            self.second().fates[answer.kind.value] += 1
+        manager.viewings.pop(viewing.id, None)
+        if answer.overdue and not manager.recently_stalled():
+            self.faults.append(f"viewing {viewing.id} was overdue")
+        if not viewing.ended:
+            viewing.ended = True
+            self.current_second().outcomes[answer.kind.value] += 1
             if answer.kind is not AnswerKind.LEFT:
-                self.world.later(max(CLIENT, answer.hold_off), self.come_again, vw.player)
+                self.world.call_later(max(CLIENT_DELAY, answer.hold_off), self.retry_later, viewing.player)
 
-    def plays(self, vw):
-        p, package = vw.player, self.packages[vw.player.package]
-        vw.late = self.world.now - vw.asked_at > package.join_target_ms * 10
-        self.second().fates["late" if vw.late else "plays"] += 1
-        self.world.later(round(p.wish.length * SECOND), self.over, vw)
+    def playback_starts(self, viewing):
+        player, package = viewing.player, self.packages[viewing.player.package]
+        viewing.started_late = self.world.now - viewing.requested_at > package.join_target_ms * 10
+        self.current_second().outcomes["late" if viewing.started_late else "plays"] += 1
+        self.world.call_later(round(player.request.length * SECOND), self.playback_complete, viewing)
 
-    def over(self, vw):
+    def playback_complete(self, viewing):
         """It was watched to its end."""
-        if not vw.gone and vw.key in self.by_key:
-            vw.gone = True
-            self.left(vw)
+        if not viewing.ended and viewing.key in self.viewing_by_key:
+            viewing.ended = True
+            self.player_leaves(viewing)
 
-    def left(self, vw):
+    def player_leaves(self, viewing):
         """Whom it asked hears that its player went; where that one has it no more, who has it now."""
-        manager, life = vw.home
-        if manager.up and life == manager.life and vw.id in manager.viewings:
-            if not manager.stands(self.left, vw):
-                manager.runner.client_left(vw.id)
-        elif vw.manager.up and vw.life == vw.manager.life and not vw.manager.stands(self.left, vw):
-            vw.manager.runner.client_left(vw.id)
-
-    def come_again(self, p):
-        p.tries -= 1
+        manager, incarnation = viewing.asked_manager
+        if manager.up and incarnation == manager.incarnation and viewing.id in manager.viewings:
+            if not manager.deferred_by_stall(self.player_leaves, viewing):
+                manager.runner.client_left(viewing.id)
+        elif (
+            viewing.manager.up
+            and viewing.incarnation == viewing.manager.incarnation
+            and not viewing.manager.deferred_by_stall(self.player_leaves, viewing)
+        ):
+            viewing.manager.runner.client_left(viewing.id)
+
+    def retry_later(self, player):
+        player.tries_left -= 1
         demand = self.day.demand
-        if p.tries > 0 and p.dice.draw() < demand.returns:
-            self.world.later(round(p.dice.between(demand.back_s) * SECOND), self.ask, p)
+        if player.tries_left > 0 and player.dice.draw() < demand.returns:
+            self.world.call_later(round(player.dice.between(demand.back_s) * SECOND), self.send_request, player)
 
     # Ways
 
-    def send(self, a, b, span, act, *args):
+    def send(self, sender, receiver, delay, callback, *args):
         """act(*args) once what a party sends now has reached another, `span` after that on a way without faults."""
-        state = self.ways.of((a, b))
-        if state is CLEAR and (a, b) not in self.late_on:
-            self.world.later(span, act, *args)
+        state = self.ways.of((sender, receiver))
+        if state is CLEAR and (sender, receiver) not in self.last_arrival:
+            self.world.call_later(delay, callback, *args)
         elif not state.passes():
-            self.waiting.setdefault((a, b), []).append((span, act, args))
+            self.held_messages.setdefault((sender, receiver), []).append((delay, callback, args))
         else:  # in order, as on one connection
-            late = span + round(10 * (state.delay_ms + state.jitter_ms * self.world.dice("ways").draw()))
-            at = self.late_on[a, b] = max(self.world.now + late, self.late_on.get((a, b), 0))
-            self.world.at(at, act, *args)
-            if state is CLEAR and at == self.world.now + span:  # what was late has all come
-                del self.late_on[a, b]
+            delayed = delay + round(10 * (state.delay_ms + state.jitter_ms * self.world.dice("ways").draw()))
+            at = self.last_arrival[sender, receiver] = max(
+                self.world.now + delayed, self.last_arrival.get((sender, receiver), 0)
+            )
+            self.world.call_at(at, callback, *args)
+            if state is CLEAR and at == self.world.now + delay:  # what was late has all come
+                del self.last_arrival[sender, receiver]
 
-    def datagram(self, a, b, span, act, *args):
+    def send_datagram(self, sender, receiver, delay, callback, *args):
         """The same for what no connection makes good: it is gone where the way does not pass."""
-        state, dice = self.ways.of((a, b)), self.world.dice("datagrams")
+        state, dice = self.ways.of((sender, receiver)), self.world.dice("datagrams")
         if state is CLEAR:
-            self.world.later(span, act, *args)
+            self.world.call_later(delay, callback, *args)
         elif state.passes() and not (state.lose and dice.draw() < state.lose):
-            self.world.later(span + round(10 * (state.delay_ms + state.jitter_ms * dice.draw())), act, *args)
+            self.world.call_later(delay + round(10 * (state.delay_ms + state.jitter_ms * dice.draw())), callback, *args)
 
-    def member_hears(self, address, message, sender):
-        manager = self.named(address)
-        if manager.up and not manager.stands(self.member_hears, address, message, sender):
-            manager.taker.heard(message, sender)
+    def member_message_arrives(self, address, message, sender):
+        manager = self.manager_named(address)
+        if manager.up and not manager.deferred_by_stall(self.member_message_arrives, address, message, sender):
+            manager.takeover.message_arrives(message, sender)
 
-    def strike(self, fault, ways, span, pieces):
+    def apply_fault(self, fault, ways, span, pieces):
         """A fault of ways for so long; pieces: [(after it, ways)] that heal then."""
-        self.way_faults += 1
-        self.ways.put(self.way_faults, fault, ways)
-        for after, some in pieces:
-            self.world.later(span + round(after * SECOND), self.heal, self.way_faults, some)
+        self.fault_count += 1
+        self.ways.put(self.fault_count, fault, ways)
+        for after, healed in pieces:
+            self.world.call_later(span + round(after * SECOND), self.heal, self.fault_count, healed)
 
     def heal(self, number, ways):
         for way in self.ways.heal(number, ways):
             if self.ways.of(way).passes():
-                for span, act, args in self.waiting.pop(way, ()):
-                    self.send(*way, span, act, *args)
+                for delay, callback, args in self.held_messages.pop(way, ()):
+                    self.send(*way, delay, callback, *args)
 
     # Between managers and boxes
 
-    def set_up(self, manager, vw, nth, server, rung):
-        vw.server, vw.nth, vw.key = server, nth, (manager.me, manager.life, vw.id, nth)
-        self.second().tune_ins["further" if nth else "first"] += 1
+    def set_up(self, manager, viewing, nth, server, rung):
+        viewing.server, viewing.nth, viewing.key = server, nth, (manager.number, manager.incarnation, viewing.id, nth)
+        self.current_second().tune_ins["further" if nth else "first"] += 1
         self.send(
             manager.name,
             f"b{server}",
-            NET,
-            self.at_box,
+            NETWORK_DELAY,
+            self.set_up_at_box,
             manager,
-            manager.life,
-            vw,
-            vw.key,
+            manager.incarnation,
+            viewing,
+            viewing.key,
             server,
             rung,
             self.world.now,
             self.fleet.boxes[server].boot,
         )
 
-    def probe(self, manager, life, server):
+    def probe(self, manager, incarnation, server):
         """Answered beside the set-ups; a box that hangs, is gone or out of reach lets it run into its limit."""
-        holder, ways = self.fleet.boxes[server], ((manager.name, f"b{server}"), (f"b{server}", manager.name))
+        model_box, ways = self.fleet.boxes[server], ((manager.name, f"b{server}"), (f"b{server}", manager.name))
         cut = not all(self.ways.of(way).passes() for way in ways)
-        if holder.dead or holder.box.trouble.hang or cut:
+        if model_box.dead or model_box.box.trouble.hang or cut:
             limit = round(self.day.site.allowed.dial_timeout_ms * 10)
-            self.world.later(
-                limit, manager.probed, life, server, Outcome.UNREACHED if holder.dead else Outcome.TIMEOUT, limit, None
+            self.world.call_later(
+                limit,
+                manager.probe_ended,
+                incarnation,
+                server,
+                Outcome.UNREACHED if model_box.dead else Outcome.TIMEOUT,
+                limit,
+                None,
             )
         else:
-            self.world.later(2 * NET, manager.probed, life, server, Outcome.OK, 2 * NET, holder.figures(self.world.now))
+            self.world.call_later(
+                2 * NETWORK_DELAY,
+                manager.probe_ended,
+                incarnation,
+                server,
+                Outcome.OK,
+                2 * NETWORK_DELAY,
+                model_box.figures(self.world.now),
+            )
 
-    def at_box(self, manager, life, vw, key, server, rung, sent_at, boot):
+    def set_up_at_box(self, manager, incarnation, viewing, key, server, rung, sent_at, boot):
         """boot: the box's start to which it was sent; a later one never hears of it, as its connection is gone."""
-        holder, now = self.fleet.boxes[server], self.world.now
+        model_box, now = self.fleet.boxes[server], self.world.now
 
-        def answer(after, how, figures=None):
+        def answer(after, outcome, figures=None):
             self.send(
-                f"b{server}", manager.name, after + NET, self.come, manager, life, vw.id, key[3], how, sent_at, figures
+                f"b{server}",
+                manager.name,
+                after + NETWORK_DELAY,
+                self.set_up_outcome,
+                manager,
+                incarnation,
+                viewing.id,
+                key[3],
+                outcome,
+                sent_at,
+                figures,
             )
 
-        if holder.dead:
+        if model_box.dead:
             answer(0, Outcome.UNREACHED)
             return
-        if holder.boot != boot:
+        if model_box.boot != boot:
             answer(0, Outcome.RESET)
             return
-        box, t = holder.box, holder.box.trouble
-        if t.hang:
+        box, trouble = model_box.box, model_box.box.trouble
+        if trouble.hang:
             return
-        if t.reset_before and box.chance() < t.reset_before:
+        if trouble.reset_before and box.chance() < trouble.reset_before:
             answer(0, Outcome.RESET)
             return
-        verdict, session = box.set_up(key, vw.player.wish.title, vw.player.wish.sends, manager.name, rung, now)
+        verdict, session = box.set_up(
+            key, viewing.player.request.title, viewing.player.request.sends, manager.name, rung, now
+        )
         if verdict.status == 0:
-            self.fleet.fell += 1
-            self.die(holder)
+            self.fleet.fallen += 1
+            self.crash_box(model_box)
             answer(0, Outcome.RESET)
             return
         if session is None:
-            how = (
+            outcome = (
                 {503: Outcome.FULL, 404: Outcome.LACKING}.get(verdict.status, Outcome.MOOT)
                 if not verdict.ran
                 else Outcome.ERROR
             )
-            self.second().tune_ins[how.value] += 1
-            answer(verdict.after, how)
+            self.current_second().tune_ins[outcome.value] += 1
+            answer(verdict.after, outcome)
             return
-        session.life = life
-        self.by_key[key] = vw
-        holder.changed()
-        lost = next((k for k in ("answer_lost", "half") if getattr(t, k) and box.chance() < getattr(t, k)), None)
-        if lost:
+        session.life = incarnation
+        self.viewing_by_key[key] = viewing
+        model_box.update_load()
+        answer_lost = next(
+            (k for k in ("answer_lost", "half") if getattr(trouble, k) and box.chance() < getattr(trouble, k)), None
+        )
+        if answer_lost:
             return
-        if t.reset_after and box.chance() < t.reset_after:
+        if trouble.reset_after and box.chance() < trouble.reset_after:
             answer(verdict.after, Outcome.RESET)
-            self.world.later(verdict.after, self.end_at_box, server, key, manager, 0)
+            self.world.call_later(verdict.after, self.send_end_order, server, key, manager, 0)
             return
-        self.world.later(verdict.after, self.answer_up, holder, holder.boot, manager, life, vw, key, sent_at)
+        self.world.call_later(
+            verdict.after, self.set_up_complete, model_box, model_box.boot, manager, incarnation, viewing, key, sent_at
+        )
 
-    def answer_up(self, holder, boot, manager, life, vw, key, sent_at):
+    def set_up_complete(self, model_box, boot, manager, incarnation, viewing, key, sent_at):
         now = self.world.now
-        if holder.dead or holder.boot != boot or holder.box.trouble.hang:
-            if holder.dead or holder.boot != boot:
+        if model_box.dead or model_box.boot != boot or model_box.box.trouble.hang:
+            if model_box.dead or model_box.boot != boot:
                 self.send(
-                    f"b{holder.place.id}",
+                    f"b{model_box.place.id}",
                     manager.name,
-                    NET,
-                    self.come,
+                    NETWORK_DELAY,
+                    self.set_up_outcome,
                     manager,
-                    life,
-                    vw.id,
+                    incarnation,
+                    viewing.id,
                     key[3],
                     Outcome.RESET,
                     sent_at,
                     None,
                 )
             return
-        if key in holder.box.sessions:
+        if key in model_box.box.sessions:
             self.send(
-                f"b{holder.place.id}",
+                f"b{model_box.place.id}",
                 manager.name,
-                NET,
-                self.come,
+                NETWORK_DELAY,
+                self.set_up_outcome,
                 manager,
-                life,
-                vw.id,
+                incarnation,
+                viewing.id,
                 key[3],
                 None,
                 sent_at,
-                holder.figures(now),
+                model_box.figures(now),
             )
 
-    def come(self, manager, life, id, nth, how, sent_at, figures):
+    def set_up_outcome(self, manager, incarnation, id, nth, outcome, sent_at, figures):
         """An outcome reaches its manager."""
-        manager.outcome(life, id, nth, how, self.world.now - sent_at, figures)
+        manager.set_up_ended(incarnation, id, nth, outcome, self.world.now - sent_at, figures)
 
-    def end_at_box(self, server, key, manager, epoch):
+    def send_end_order(self, server, key, manager, epoch):
         """An order of a manager that holds the session under this epoch."""
-        self.send(manager.name, f"b{server}", NET, self.ended_at_box, server, key, manager, manager.life, epoch)
+        self.send(
+            manager.name,
+            f"b{server}",
+            NETWORK_DELAY,
+            self.end_order_arrives,
+            server,
+            key,
+            manager,
+            manager.incarnation,
+            epoch,
+        )
 
-    def ended_at_box(self, server, key, manager, life, epoch):
-        holder = self.fleet.boxes[server]
-        if holder.dead:
+    def end_order_arrives(self, server, key, manager, incarnation, epoch):
+        model_box = self.fleet.boxes[server]
+        if model_box.dead:
             return
-        if holder.box.trouble.hang:
-            self.world.later(SECOND, self.ended_at_box, server, key, manager, life, epoch)
+        if model_box.box.trouble.hang:
+            self.world.call_later(SECOND, self.end_order_arrives, server, key, manager, incarnation, epoch)
             return
-        if not holder.box.fence.obeys(key, epoch, manager.name):  # it is another's by now
-            if key in self.by_key and self.by_key[key].gone:
-                self.without_media(holder, key)
-            self.send(f"b{server}", manager.name, NET, manager.moved, life, key[2])
+        if not model_box.box.fence.obeys(key, epoch, manager.name):  # it is another's by now
+            if key in self.viewing_by_key and self.viewing_by_key[key].ended:
+                self.begin_media_timeout(model_box, key)
+            self.send(f"b{server}", manager.name, NETWORK_DELAY, manager.session_moved, incarnation, key[2])
             return
-        self.over_at_box(holder, key, manager, life)
+        self.end_session(model_box, key, manager, incarnation)
 
-    def over_at_box(self, holder, key, manager=None, life=0):
+    def end_session(self, model_box, key, manager=None, incarnation=0):
         """A session ends there. Who ended it hears so."""
-        vw = self.by_key.pop(key, None)
-        if holder.box.end(key, self.world.now) is not None:
-            holder.changed()
-        if vw is not None and vw.playing:
-            vw.gone = True
-        if manager is not None and manager.taker is not None:
-            self.send(f"b{holder.place.id}", manager.name, NET, manager.said_over, life, key)
-
-    def moved(self, holder, key, name, life):
+        viewing = self.viewing_by_key.pop(key, None)
+        if model_box.box.end(key, self.world.now) is not None:
+            model_box.update_load()
+        if viewing is not None and viewing.playing:
+            viewing.ended = True
+        if manager is not None and manager.takeover is not None:
+            self.send(f"b{model_box.place.id}", manager.name, NETWORK_DELAY, manager.session_over, incarnation, key)
+
+    def notify_moved(self, model_box, key, name, incarnation):
         """Who held a session hears that it is another's, if it still listens."""
-        before = self.named(name)
-        self.send(f"b{holder.place.id}", name, NET, before.moved, life, key[2])
+        previous = self.manager_named(name)
+        self.send(f"b{model_box.place.id}", name, NETWORK_DELAY, previous.session_moved, incarnation, key[2])
 
-    def unwatched(self, vw, key):
+    def viewing_without_player(self, viewing, key):
         """What stands in for a session that was taken over before its own player was answered."""
-        other = self.by_key[key] = Viewing(vw.id, vw.player, vw.manager, vw.asked_at)
-        other.server, other.nth, other.key, other.gone = vw.server, vw.nth, key, True
+        other = self.viewing_by_key[key] = Viewing(viewing.id, viewing.player, viewing.manager, viewing.requested_at)
+        other.server, other.nth, other.key, other.ended = viewing.server, viewing.nth, key, True
         return other
 
-    def without_media(self, holder, key):
+    def begin_media_timeout(self, model_box, key):
         """A session that was taken over and that nobody watches: it ends a while after its media last flowed."""
-        self.world.later(round(self.day.site.fleet.media_ms * 10), self.starved, holder, holder.boot, key)
+        self.world.call_later(
+            round(self.day.site.fleet.media_ms * 10), self.media_timeout, model_box, model_box.boot, key
+        )
 
-    def starved(self, holder, boot, key):
-        vw, session = self.by_key.get(key), holder.box.sessions.get(key)
-        if holder.dead or holder.boot != boot or session is None or vw is None or vw.playing and not vw.gone:
+    def media_timeout(self, model_box, boot, key):
+        viewing, session = self.viewing_by_key.get(key), model_box.box.sessions.get(key)
+        if (
+            model_box.dead
+            or model_box.boot != boot
+            or session is None
+            or viewing is None
+            or viewing.playing
+            and not viewing.ended
+        ):
             return
-        owner = self.named(session.manager)
-        self.send(f"b{holder.place.id}", owner.name, NET, owner.lost, session.life, key[2], key[3], Outcome.OK)
-        self.over_at_box(holder, key)
+        owner = self.manager_named(session.manager)
+        self.send(
+            f"b{model_box.place.id}",
+            owner.name,
+            NETWORK_DELAY,
+            owner.session_lost,
+            session.life,
+            key[2],
+            key[3],
+            Outcome.OK,
+        )
+        self.end_session(model_box, key)
 
-    def begin_lease(self, server, key, name, life):
-        holder = self.fleet.boxes[server]
+    def begin_lease(self, server, key, name, incarnation):
+        model_box = self.fleet.boxes[server]
         lease = round(self.day.site.fleet.lease_ms * 10)
-        self.world.later(lease, self.lease_over, holder, holder.boot, key, name, life)
+        self.world.call_later(lease, self.lease_expires, model_box, model_box.boot, key, name, incarnation)
 
-    def lease_over(self, holder, boot, key, name, life):
+    def lease_expires(self, model_box, boot, key, name, incarnation):
         """What a manager that died left, and nobody claimed."""
-        session, vw = holder.box.sessions.get(key), self.by_key.get(key)
-        if holder.dead or holder.boot != boot or session is None or (session.manager, session.life) != (name, life):
+        session, viewing = model_box.box.sessions.get(key), self.viewing_by_key.get(key)
+        if (
+            model_box.dead
+            or model_box.boot != boot
+            or session is None
+            or (session.manager, session.life) != (name, incarnation)
+        ):
             return
-        if holder.box.trouble.hang:
-            self.world.later(SECOND, self.lease_over, holder, boot, key, name, life)
+        if model_box.box.trouble.hang:
+            self.world.call_later(SECOND, self.lease_expires, model_box, boot, key, name, incarnation)
             return
-        if vw is not None and vw.playing and not vw.gone:
-            self.second().fates["lost with its manager"] += 1
-            self.world.later(CLIENT, self.come_again, vw.player)
-        self.over_at_box(holder, key)
+        if viewing is not None and viewing.playing and not viewing.ended:
+            self.current_second().outcomes["lost with its manager"] += 1
+            self.world.call_later(CLIENT_DELAY, self.retry_later, viewing.player)
+        self.end_session(model_box, key)
 
     def set_rung(self, server, key, rung, manager, epoch):
-        self.send(manager.name, f"b{server}", NET, self.rung_at_box, server, key, rung, manager, epoch)
+        self.send(manager.name, f"b{server}", NETWORK_DELAY, self.rung_order_arrives, server, key, rung, manager, epoch)
 
-    def rung_at_box(self, server, key, rung, manager, epoch):
-        holder = self.fleet.boxes[server]
+    def rung_order_arrives(self, server, key, rung, manager, epoch):
+        model_box = self.fleet.boxes[server]
         if (
-            not holder.dead
-            and holder.box.fence.obeys(key, epoch, manager.name)
-            and holder.box.set_rung(key, rung) is not None
+            not model_box.dead
+            and model_box.box.fence.obeys(key, epoch, manager.name)
+            and model_box.box.set_rung(key, rung) is not None
         ):
-            holder.changed()
+            model_box.update_load()
 
-    def peer_word(self, manager, server, kb):
+    def send_peer_load(self, manager, server, kb):
         for other in self.managers:
             if other is not manager:
-                self.send(manager.name, other.name, NET, self.hear_peer, other, other.life, manager.me, server, kb)
+                self.send(
+                    manager.name,
+                    other.name,
+                    NETWORK_DELAY,
+                    self.peer_load_arrives,
+                    other,
+                    other.incarnation,
+                    manager.number,
+                    server,
+                    kb,
+                )
 
-    def hear_peer(self, manager, life, peer, server, kb):
-        if manager.stands(self.hear_peer, manager, life, peer, server, kb):
+    def peer_load_arrives(self, manager, incarnation, peer, server, kb):
+        if manager.deferred_by_stall(self.peer_load_arrives, manager, incarnation, peer, server, kb):
             return
-        if manager.up and manager.life == life:
+        if manager.up and manager.incarnation == incarnation:
             manager.runner.peer_load_changed(peer, server, kb)
 
-    def die(self, holder):
+    def crash_box(self, model_box):
         """A box's process is gone: its viewings break, their managers and players notice."""
-        sessions = dict(holder.box.sessions)
-        holder.dead = True
-        holder.box.sessions = {}
-        holder.changed()
-        self.fleet.changed(holder)
+        sessions = dict(model_box.box.sessions)
+        model_box.dead = True
+        model_box.box.sessions = {}
+        model_box.update_load()
+        self.fleet.update_list(model_box)
         for key, session in sessions.items():
-            vw = self.by_key.pop(key, None)
-            if vw is None:
+            viewing = self.viewing_by_key.pop(key, None)
+            if viewing is None:
                 continue
-            owner = self.named(session.manager)
-            self.send(f"b{holder.place.id}", owner.name, NET, owner.lost, session.life, key[2], key[3])
-            if vw.playing and not vw.gone:
-                vw.gone = True
-                self.come_again(vw.player)
+            owner = self.manager_named(session.manager)
+            self.send(
+                f"b{model_box.place.id}", owner.name, NETWORK_DELAY, owner.session_lost, session.life, key[2], key[3]
+            )
+            if viewing.playing and not viewing.ended:
+                viewing.ended = True
+                self.retry_later(viewing.player)
 
-    def manager_lost(self, vw):
+    def manager_crashed(self, viewing):
         """Its manager died; its box ends it after the lease, unless it is claimed, and then the player comes again."""
-        if not self.day.members and vw.playing and not vw.gone:
-            vw.gone = True
-            self.come_again(vw.player)
-        if vw.key is not None:
-            self.begin_lease(vw.server, vw.key, vw.manager.name, vw.life)
+        if not self.day.members and viewing.playing and not viewing.ended:
+            viewing.ended = True
+            self.retry_later(viewing.player)
+        if viewing.key is not None:
+            self.begin_lease(viewing.server, viewing.key, viewing.manager.name, viewing.incarnation)
 
     # What boxes tell, and what it is all worth
 
-    def one_each(self, holder):
-        found = {}
-        for key, session in holder.box.sessions.items():
+    def one_session_per_manager(self, model_box):
+        key_by_manager = {}
+        for key, session in model_box.box.sessions.items():
             owner = session.manager, session.life
-            if owner not in found and (vw := self.by_key.get(key)) is not None and vw.playing:
-                found[owner] = key
-        return found
-
-    def tell(self, holder, boot, key, notes):
-        if not holder.dead and holder.boot == boot and not holder.box.trouble.hang:
-            session = holder.box.sessions.get(key)
+            if (
+                owner not in key_by_manager
+                and (viewing := self.viewing_by_key.get(key)) is not None
+                and viewing.playing
+            ):
+                key_by_manager[owner] = key
+        return key_by_manager
+
+    def send_notes(self, model_box, boot, key, notes):
+        if not model_box.dead and model_box.boot == boot and not model_box.box.trouble.hang:
+            session = model_box.box.sessions.get(key)
             if session is not None:
-                owner = self.named(session.manager)
-                self.send(f"b{holder.place.id}", owner.name, 0, self.told, owner, session.life, key[2], notes)
+                owner = self.manager_named(session.manager)
+                self.send(
+                    f"b{model_box.place.id}", owner.name, 0, self.notes_arrive, owner, session.life, key[2], notes
+                )
 
-    def told(self, owner, life, id, notes):
+    def notes_arrive(self, owner, incarnation, id, notes):
         for kind, amount in notes:
-            owner.note(life, id, kind, amount)
+            owner.playback_note(incarnation, id, kind, amount)
 
-    def notes(self, holder):
-        if holder.dead:
+    def report_load(self, model_box):
+        if model_box.dead:
             return
-        figures, fleet = holder.figures(self.world.now), self.day.site.fleet
-        late = round(fleet.note_lag_ms * 10) + holder.box.trouble.report_late
+        figures, fleet = model_box.figures(self.world.now), self.day.site.fleet
+        delay = round(fleet.note_lag_ms * 10) + model_box.box.trouble.report_late
         notes = [(NoteKind.LINK, figures[fleet.link_figure])]
         if fleet.uplink_figure:
             notes.append((NoteKind.UPLINK, figures[fleet.uplink_figure]))
-        for key in self.one_each(holder).values():
-            self.world.later(late, self.tell, holder, holder.boot, key, notes)
+        for key in self.one_session_per_manager(model_box).values():
+            self.world.call_later(delay, self.send_notes, model_box, model_box.boot, key, notes)
 
     def score(self):
         """Each second: worth earned and asked, shares told, players who leave a viewing that starves."""
-        now, row, site = self.world.now, self.second(), self.day.site
+        now, row, site = self.world.now, self.current_second(), self.day.site
         worth, stall, dice = site.ladder.worth, site.ladder.stall, self.world.dice("leave")
-        late = round(site.fleet.note_lag_ms * 10)
-        for holder in self.fleet.boxes.values():
-            if holder.dead or not holder.box.sessions:
+        delay = round(site.fleet.note_lag_ms * 10)
+        for model_box in self.fleet.boxes.values():
+            if model_box.dead or not model_box.box.sessions:
                 continue
-            share = holder.delivered(now)
+            share = model_box.delivered(now)
             short = max(0.0, 0.98 - share)
-            for key, session in list(holder.box.sessions.items()):
-                vw = self.by_key.get(key)
-                if vw is None or not vw.playing or vw.gone:
+            for key, session in list(model_box.box.sessions.items()):
+                viewing = self.viewing_by_key.get(key)
+                if viewing is None or not viewing.playing or viewing.ended:
                     continue
-                package = self.packages[vw.player.package]
+                package = self.packages[viewing.player.package]
                 value = package.value * max(0.0, worth[session.rung] - stall * short)
-                if not vw.late:
-                    row.earned[vw.player.package] += value
-                row.rungs[vw.player.package, session.rung] += 1
-                row.low_floor += session.rung < package.floor
-                if share < LEAVES_UNDER and dice.draw() < LEAVES:
-                    vw.gone = True
-                    self.left(vw)
-            if short > 0 or holder in self.was_short:
-                for key in self.one_each(holder).values():
-                    self.world.later(late, self.tell, holder, holder.boot, key, [(NoteKind.DELIVERED, share)])
+                if not viewing.started_late:
+                    row.earned[viewing.player.package] += value
+                row.rungs[viewing.player.package, session.rung] += 1
+                row.below_floor += session.rung < package.floor
+                if share < LEAVE_BELOW_SHARE and dice.draw() < LEAVE_CHANCE:
+                    viewing.ended = True
+                    self.player_leaves(viewing)
+            if short > 0 or model_box in self.short_boxes:
+                for key in self.one_session_per_manager(model_box).values():
+                    self.world.call_later(
+                        delay, self.send_notes, model_box, model_box.boot, key, [(NoteKind.DELIVERED, share)]
+                    )
             if short > 0:
-                self.was_short.add(holder)
+                self.short_boxes.add(model_box)
             else:
-                self.was_short.discard(holder)
-        for p in self.watching:
+                self.short_boxes.discard(model_box)
+        for p in self.watchers:
             package = self.packages[p.package]
-            top = min(package.top, len(worth) - 1, len(worth) - 1 if p.wish.top is None else p.wish.top)
+            top = min(package.top, len(worth) - 1, len(worth) - 1 if p.request.top is None else p.request.top)
             row.asked[p.package] += package.value * worth[max(top, package.floor)]
         for p in self.peaks:
-            self.see_room(p, row, now)
+            self.record_peak_room(p, row, now)
         if self.bound_every and (now - self.began) // SECOND % self.bound_every == 0:
-            row.bound = of_play(self)
+            row.bound = bound_of_play(self)
 
-    def see_room(self, p, row, now):
+    def record_peak_room(self, peak, row, now):
         """What the peak's viewings need now, and what others leave free of its holders' links."""
-        s, site = self.day_s(), self.day.site
-        if not p.start_s - p.lead_s - 5 <= s < p.end_s + 5:
+        second, site = self.day_s(), self.day.site
+        if not peak.start_s - peak.lead_s - 5 <= second < peak.end_s + 5:
             return
-        parts, titles = len(p.titles) + len(p.packages), set(p.titles)
-        row.wanted[p.name] = sum(
+        parts, titles = len(peak.titles) + len(peak.packages), set(peak.titles)
+        row.wanted[peak.name] = sum(
             self.rates(
                 site.titles[t].view if t in site.titles else t,
-                p.rung,
-                p.watch_at(max(s, p.start_s + 1)) / parts,
+                peak.rung,
+                peak.watch_at(max(second, peak.start_s + 1)) / parts,
                 max(1, len(self.holders(t)) if t in titles else len(self.fleet.boxes)),
             )
-            for t in (*p.titles, *p.packages)
+            for t in (*peak.titles, *peak.packages)
         )
-        boxes = set(self.fleet.boxes) if p.packages else {b for t in p.titles for b in self.holders(t)}
+        boxes = set(self.fleet.boxes) if peak.packages else {b for t in peak.titles for b in self.holders(t)}
         free = 0.0
         for id in boxes:
-            holder = self.fleet.boxes[id]
-            if not holder.dead:
+            model_box = self.fleet.boxes[id]
+            if not model_box.dead:
                 others = sum(
-                    self.kb(session)
-                    for session in holder.box.sessions.values()
-                    if session.title not in titles and session.package not in p.packages
+                    self.session_kb(session)
+                    for session in model_box.box.sessions.values()
+                    if session.title not in titles and session.package not in peak.packages
                 )
-                free += max(0.0, holder.box.link_now(now) - others)
-        row.free[p.name] = free
+                free += max(0.0, model_box.box.link_now(now) - others)
+        row.free[peak.name] = free
 
-    def kb(self, session):
+    def session_kb(self, session):
         return self.day.site.ladder.kb[session.rung] * self.day.site.packages[session.package].scale
 
     # Troubles, as a day's file names them
 
-    def trouble(self, n, row):
-        boxes = self.struck(n, row, range(1, len(self.fleet.boxes) + 1), row.boxes and [b + 1 for b in row.boxes])
-        managers = self.struck(n, row, range(len(self.managers)), row.managers)
+    def apply_trouble(self, number, row):
+        boxes = self.trouble_targets(
+            number, row, range(1, len(self.fleet.boxes) + 1), row.boxes and [b + 1 for b in row.boxes]
+        )
+        managers = self.trouble_targets(number, row, range(len(self.managers)), row.managers)
         span, fleet = round(row.for_s * SECOND), self.fleet
         if row.what == "crash":
             for b in boxes:
                 if not fleet.boxes[b].dead:
-                    self.die(fleet.boxes[b])
-                self.down["b", b] += 1
-                self.world.later(span, self.box_back, fleet.boxes[b])
+                    self.crash_box(fleet.boxes[b])
+                self.outages["b", b] += 1
+                self.world.call_later(span, self.restart_box, fleet.boxes[b])
         elif row.what == "manager_crash":
             for m in managers:
                 if self.managers[m].up:
                     self.managers[m].crash()
-                self.down["m", m] += 1
-                self.world.later(span, self.manager_back, self.managers[m])
+                self.outages["m", m] += 1
+                self.world.call_later(span, self.restart_manager, self.managers[m])
         elif row.what == "manager_restart":
             for m in managers:
-                if not self.down["m", m]:
-                    self.down["m", m] += 1
-                    self.managers[m].leave()
-                    self.stopping(self.managers[m], self.managers[m].life, self.world.now + HANDED_OVER, span)
+                if not self.outages["m", m]:
+                    self.outages["m", m] += 1
+                    self.managers[m].begin_planned_stop()
+                    self.finish_planned_stop(
+                        self.managers[m], self.managers[m].incarnation, self.world.now + PLANNED_STOP_LIMIT, span
+                    )
         elif row.what == "manager_stall":
             for m in managers:
                 self.managers[m].stall(span)
         elif row.what == "list_late":
-            fleet.late = round(row.value * 10)
-            self.world.later(span, setattr, fleet, "late", round(self.day.list_late_ms * 10))
+            fleet.list_delay = round(row.value * 10)
+            self.world.call_later(span, setattr, fleet, "list_delay", round(self.day.list_late_ms * 10))
         elif row.what == "list_frozen":
-            fleet.frozen = True
-            self.world.later(span, setattr, fleet, "frozen", False)
+            fleet.list_frozen = True
+            self.world.call_later(span, setattr, fleet, "list_frozen", False)
         elif row.what == "uplink":
             rack, kb = row.rack or 0, self.day.site.fleet.uplink_kb
             fleet.uplinks[rack] = kb * row.value
-            self.world.later(span, fleet.uplinks.__setitem__, rack, kb)
+            self.world.call_later(span, fleet.uplinks.__setitem__, rack, kb)
         elif row.what == "way":
-            ways = ways_of(self.day, n)
-            self.strike(
+            ways = ways_of(self.day, number)
+            self.apply_fault(
                 Fault(row.kind, row.value, row.jitter),
                 ways,
                 span,
-                in_pieces(ways, row.heal_s, self.world.dice(f"heal-{n}")),
+                in_pieces(ways, row.heal_s, self.world.dice(f"heal-{number}")),
             )
         elif row.what in ("box_stall", "catalogue_stall"):
             others = [m.name for m in self.managers]
             for name in [SERVICE] if row.what == "catalogue_stall" else [f"b{b}" for b in boxes]:
                 ways = [way for o in others for way in ((o, name), (name, o))]
-                self.strike(Fault("cut"), ways, span, [(0.0, ways)])
+                self.apply_fault(Fault("cut"), ways, span, [(0.0, ways)])
         elif row.what == "catalogue_crash":  # what it tells of titles is told once here, and managers keep it
-            if self.grants is not None:
-                self.down[SERVICE] += 1
-                if self.grants.up:
-                    self.grants.crash()
-                self.world.later(span, self.service_back)
+            if self.catalogue_service is not None:
+                self.outages[SERVICE] += 1
+                if self.catalogue_service.up:
+                    self.catalogue_service.crash()
+                self.world.call_later(span, self.restart_service)
         elif row.what == "crowd":
             pass  # it is in the arrivals
         else:
             for b in boxes:
                 self.set_trouble(fleet.boxes[b], row.what, row.value)
                 off = 1.0 if row.what in ("slow", "link", "lie") else 0.0
-                self.world.later(span, self.set_trouble, fleet.boxes[b], row.what, off)
+                self.world.call_later(span, self.set_trouble, fleet.boxes[b], row.what, off)
 
-    def set_trouble(self, holder, name, value):
-        holder.box.trouble.set(name, value)
-        self.fleet.changed(holder)
+    def set_trouble(self, model_box, name, value):
+        model_box.box.trouble.set(name, value)
+        self.fleet.update_list(model_box)
 
-    def struck(self, n, row, items, named):
-        if named is not None:
-            return named
-        count = max(1, round(len(items) * (row.share if row.share is not None else 1)))
-        return self.world.dice(f"trouble-{n}").some(items, count)
+    def trouble_targets(self, number, trouble, items, chosen):
+        if chosen is not None:
+            return chosen
+        count = max(1, round(len(items) * (trouble.share if trouble.share is not None else 1)))
+        return self.world.dice(f"trouble-{number}").some(items, count)
 
-    def box_back(self, holder):
-        self.down["b", holder.place.id] -= 1
-        if self.down["b", holder.place.id]:
+    def restart_box(self, model_box):
+        self.outages["b", model_box.place.id] -= 1
+        if self.outages["b", model_box.place.id]:
             return  # an outage inside an outage: back when the last one is over
-        holder.start(self.world.now)
-        self.fleet.changed(holder)
+        model_box.start(self.world.now)
+        self.fleet.update_list(model_box)
 
-    def service_back(self):
-        self.down[SERVICE] -= 1
-        if not self.down[SERVICE]:
-            self.grants.start()
+    def restart_service(self):
+        self.outages[SERVICE] -= 1
+        if not self.outages[SERVICE]:
+            self.catalogue_service.start()
 
-    def manager_back(self, manager):
-        self.down["m", manager.me] -= 1
-        if self.down["m", manager.me]:
+    def restart_manager(self, manager):
+        self.outages["m", manager.number] -= 1
+        if self.outages["m", manager.number]:
             return
-        manager.start([row for row in manager.told.values() if row.state is not interface.ServerStatus.GONE])
-        self.send("list", manager.name, round(self.fleet.late), self.full_list, manager, manager.life)
+        manager.start([row for row in manager.known_servers.values() if row.state is not interface.ServerStatus.GONE])
+        self.send(
+            "list", manager.name, round(self.fleet.list_delay), self.full_list_arrives, manager, manager.incarnation
+        )
 
-    def stopping(self, manager, life, until, span):
+    def finish_planned_stop(self, manager, incarnation, until, span):
         """A planned stop is over once all that played is another's; then it is away for so long."""
-        if manager.life == life:
+        if manager.incarnation == incarnation:
             if manager.viewings and self.day.members and self.world.now < until:
-                self.world.later(SECOND // 10, self.stopping, manager, life, until, span)
+                self.world.call_later(SECOND // 10, self.finish_planned_stop, manager, incarnation, until, span)
                 return
             manager.crash()
-        self.world.later(span, self.manager_back, manager)
+        self.world.call_later(span, self.restart_manager, manager)
 
-    def full_list(self, manager, life):
-        if manager.stands(self.full_list, manager, life):
+    def full_list_arrives(self, manager, incarnation):
+        if manager.deferred_by_stall(self.full_list_arrives, manager, incarnation):
             return
-        if manager.up and manager.life == life:
-            manager.runner.server_list_changed(ListKind.FULL, self.fleet.full())
-            manager.told |= {row.server: row for row in self.fleet.full()}
-            manager.listed(self.fleet.full())
+        if manager.up and manager.incarnation == incarnation:
+            manager.runner.server_list_changed(ListKind.FULL, self.fleet.full_list())
+            manager.known_servers |= {row.server: row for row in self.fleet.full_list()}
+            manager.list_changed(self.fleet.full_list())
 
     # The day
 
@@ -774,43 +910,47 @@
         """Plays it all; returns self."""
         world, day = self.world, self.day
         settle = round(day.settle_s * SECOND)
-        self.watching, self.was_short = {}, set()
+        self.watchers, self.short_boxes = {}, set()
         self.began = world.now + settle
         every = round(day.site.fleet.note_every_ms * 10)
-        for n, holder in enumerate(self.fleet.boxes.values() if every else ()):
-            world.at(world.now + 1 + n * every // max(1, len(self.fleet.boxes)), self.begin_notes, holder, every)
-        world.at(self.began, world.every, SECOND, self.score)
+        for n, model_box in enumerate(self.fleet.boxes.values() if every else ()):
+            world.call_at(
+                world.now + 1 + n * every // max(1, len(self.fleet.boxes)), self.begin_load_reports, model_box, every
+            )
+        world.call_at(self.began, world.call_every, SECOND, self.score)
         for manager in self.managers if self.peaks else ():
-            world.at(self.began - settle, self.keep_rooms, manager)
+            world.call_at(self.began - settle, self.update_room, manager)
         for n, row in enumerate(day.troubles):
-            world.at(self.began + round(row.at_s * SECOND), self.trouble, n, row)
-        for n, (at, wish) in enumerate(arrivals(day, self.seed)):
+            world.call_at(self.began + round(row.at_s * SECOND), self.apply_trouble, n, row)
+        for n, (at, request) in enumerate(arrivals(day, self.seed)):
             time = self.began + round(at * SECOND)
-            world.at(time, self.wants, n, wish)
+            world.call_at(time, self.viewer_arrives, n, request)
         world.run(self.began + round(day.length_s * SECOND) + 3 * SECOND)
-        self.faults += [f"manager {m.me}: {m.runner.faults} faults" for m in self.managers if m.runner.faults]
+        self.faults += [f"manager {m.number}: {m.runner.faults} faults" for m in self.managers if m.runner.faults]
         return self
 
-    def keep_rooms(self, manager):
+    def update_room(self, manager):
         s = self.day_s()
-        manager.keep_room(s)
-        if manager.up and manager.keeper is not None:
-            row, keeper = self.second(), manager.keeper.keeper
+        manager.reserve_room(s)
+        if manager.up and manager.room_keeper is not None:
+            row, keeper = self.current_second(), manager.room_keeper.keeper
             for name, kb in keeper.kept.items():
                 row.kept[name] = max(row.kept.get(name, 0.0), kb)
-        self.world.later(SECOND, self.keep_rooms, manager)
+        self.world.call_later(SECOND, self.update_room, manager)
 
-    def begin_notes(self, holder, every):
-        self.notes(holder)
-        self.world.every(every, self.notes, holder)
+    def begin_load_reports(self, model_box, every):
+        self.report_load(model_box)
+        self.world.call_every(every, self.report_load, model_box)
 
-    def wants(self, n, wish):
+    def viewer_arrives(self, number, request):
         """A viewer wants to watch from now for its length, served or not."""
-        row = self.day.site.titles[wish.title]
-        p = Player(n, wish, self.numbers[row.view], self.day.demand.tries, self.world.dice(f"player-{n}"))
-        self.watching[p] = True
-        self.world.later(round(wish.length * SECOND), self.watching.pop, p, None)
-        self.ask(p)
+        row = self.day.site.titles[request.title]
+        player = Player(
+            number, request, self.package_numbers[row.view], self.day.demand.tries, self.world.dice(f"player-{number}")
+        )
+        self.watchers[player] = True
+        self.world.call_later(round(request.length * SECOND), self.watchers.pop, player, None)
+        self.send_request(player)
 
     # What it came to
 
@@ -824,16 +964,16 @@
         return earned / asked if asked else 0.0
 
     def totals(self):
-        fates, tune_ins = Counter(), Counter()
+        outcomes, tune_ins = Counter(), Counter()
         for row in self.seconds.values():
-            fates += row.fates
+            outcomes += row.outcomes
             tune_ins += row.tune_ins
         return {
             "service": round(self.service(0, int(self.day.length_s)), 6),
             "requests": sum(r.requests for r in self.seconds.values()),
-            "fates": dict(sorted(fates.items())),
+            "fates": dict(sorted(outcomes.items())),
             "tune_ins": dict(sorted(tune_ins.items())),
-            "fell": self.fleet.fell,
+            "fell": self.fleet.fallen,
             "faults": len(self.faults),
-            "under_floor": sum(r.low_floor for r in self.seconds.values()),
+            "under_floor": sum(r.below_floor for r in self.seconds.values()),
         }
--- a/flaxscale/model/rehearse.py
+++ b/flaxscale/model/rehearse.py
@@ -99,8 +99,8 @@
         return share(rows, lambda r: r.bound, lambda r: sum(r.asked.values())) if rows else None
 
     site = day.site
-    announced = {play.numbers[site.titles[t].view] for p in day.peaks for t in p.titles} | {
-        play.numbers[k] for p in day.peaks for k in p.packages
+    announced = {play.package_numbers[site.titles[t].view] for p in day.peaks for t in p.titles} | {
+        play.package_numbers[k] for p in day.peaks for k in p.packages
     }
     whole = floor = lowest = 0
     for row in inside:
@@ -115,7 +115,7 @@
         served(outside),
         {
             name: share(inside, lambda r, n=n: r.earned[n], lambda r, n=n: r.asked[n])
-            for n, name in enumerate(play.names)
+            for n, name in enumerate(play.package_names)
             if any(r.asked[n] for r in inside)
         },
         totals["fates"].get("blocked", 0) / max(1, totals["requests"]),
@@ -246,7 +246,7 @@
     rungs = range(len(day.site.ladder.kb))
     low.stackplot(
         seconds,
-        [[sum(r.rungs[p, rung] for p in range(len(play.names))) for r in rows] for rung in rungs],
+        [[sum(r.rungs[p, rung] for p in range(len(play.package_names))) for r in rows] for rung in rungs],
         labels=[f"rung {r}" for r in rungs],
     )
     low.set_ylabel("viewings by rung")
--- a/flaxscale/model/results.py
+++ b/flaxscale/model/results.py
@@ -11,7 +11,7 @@
     rungs, rows = len(play.day.site.ladder.kb), []
     for second in range(int(play.day.length_s) + 3):
         row = play.seconds[second]
-        for p, name in enumerate(play.names):
+        for p, name in enumerate(play.package_names):
             rows.append(
                 {
                     "second": second,
@@ -20,7 +20,10 @@
                     "earned": row.earned[p],
                     **{f"rung_{r}": row.rungs[p, r] for r in range(rungs)},
                     "requests": row.requests,
-                    **{f: row.fates[f] for f in ("plays", "late", "blocked", "aborted", "left", "unanswered")},
+                    **{
+                        outcome: row.outcomes[outcome]
+                        for outcome in ("plays", "late", "blocked", "aborted", "left", "unanswered")
+                    },
                     "tune_ins": row.tune_ins["first"] + row.tune_ins["further"],
                     "further": row.tune_ins["further"],
                 }
@@ -47,7 +50,7 @@
 
     day, seconds = play.day, range(int(play.day.length_s))
     figure, (top, middle, low) = pyplot.subplots(3, 1, sharex=True, figsize=(10, 8))
-    for p, name in enumerate(play.names):
+    for p, name in enumerate(play.package_names):
         share = [
             play.seconds[s].earned[p] / play.seconds[s].asked[p] if play.seconds[s].asked[p] else float("nan")
             for s in seconds
@@ -57,14 +60,17 @@
     top.set_ylabel("earned / asked")
     top.set_ylim(0, 1.05)
     top.legend(loc="lower left", fontsize=8)
-    for fate in ("plays", "blocked", "aborted", "late"):
-        middle.plot(seconds, [play.seconds[s].fates[fate] for s in seconds], label=fate)
+    for outcome in ("plays", "blocked", "aborted", "late"):
+        middle.plot(seconds, [play.seconds[s].outcomes[outcome] for s in seconds], label=outcome)
     middle.set_ylabel("answers a second")
     middle.legend(fontsize=8)
     rungs = len(day.site.ladder.kb)
     low.stackplot(
         seconds,
-        [[sum(play.seconds[s].rungs[p, r] for p in range(len(play.names))) for s in seconds] for r in range(rungs)],
+        [
+            [sum(play.seconds[s].rungs[p, r] for p in range(len(play.package_names))) for s in seconds]
+            for r in range(rungs)
+        ],
         labels=[f"rung {r}" for r in range(rungs)],
     )
     low.set_ylabel("viewings by rung")
--- a/flaxscale/model/takeover.py
+++ b/flaxscale/model/takeover.py
@@ -17,12 +17,12 @@
 from ..members.seats import SeatBook
 from ..members.swim import State, Swim
 
-NET = 5  # one way, as the play's own messages take
-ASK = 10_000  # an asking without an answer is given up
-YOUNG = 30_000  # a session without media is no orphan before this
+NETWORK_DELAY = 5  # one way, as the play's own messages take
+REQUEST_TIMEOUT = 10_000  # an asking without an answer is given up
+MEDIA_GRACE = 30_000  # a session without media is no orphan before this
 
 
-class Row(NamedTuple):
+class BoxSession(NamedTuple):
     """A session as its box tells it."""
 
     key: tuple
@@ -31,276 +31,317 @@
     rung: int
     age: int
     media: bool
-    vw: object  # the play's own viewing, which stands for the cookie
+    viewing: object  # the play's own viewing, which stands for the cookie
 
 
-class Job:
+class BoxJob:
     """One manager asks one box for the sessions of another, or of an earlier life of its own."""
 
-    def __init__(self, box, of):
-        self.box, self.of, self.course, self.number = box, of, Course(), 0
-        self.wanted, self.ends, self.rows, self.boot, self.rank_left, self.later = [], set(), {}, 0, None, False
-        self.out, self.tries = {}, 0  # claims that are out: {key: epoch}
+    def __init__(self, box, owner):
+        self.box, self.owner, self.course, self.request_number = box, owner, Course(), 0
+        self.waiting_claims, self.orphans, self.rows, self.boot, self.next_rank, self.claims_deferred = (
+            [],
+            set(),
+            {},
+            0,
+            None,
+            False,
+        )
+        self.claims_out, self.tries = {}, 0  # claims that are out: {key: epoch}
 
 
-class Taker:
+class Takeover:
     """One life of a manager among the others."""
 
     def __init__(self, play, manager, others):
         """others: names at which it asks for the rest until somebody is known."""
-        self.play, self.world, self.manager, self.name, self.life = (
+        self.play, self.world, self.manager, self.name, self.incarnation = (
             play,
             play.world,
             manager,
             manager.name,
-            manager.life,
+            manager.incarnation,
         )
         now = self.world.now
-        self.swim = Swim(self.name, self.name, f"{self.name}.{self.life}", play.seed * 1000 + manager.me, now)
+        self.swim = Swim(
+            self.name, self.name, f"{self.name}.{self.incarnation}", play.seed * 1000 + manager.number, now
+        )
         self.swim.join(others)
-        self.book = SeatBook(now, round(play.day.site.fleet.lease_ms * 10))
-        self.ration, self.jobs, self.told, self.alarm = Ration(now), {}, None, 0
-        self.view = 0  # of members and boxes: another number where it changed
-        self.world.at(now, self.ring, 0)
+        self.seat_book = SeatBook(now, round(play.day.site.fleet.lease_ms * 10))
+        self.ration, self.jobs, self.last_reserved, self.timer = Ration(now), {}, None, 0
+        self.change_count = 0  # of members and boxes: another number where it changed
+        self.world.call_at(now, self.timer_fires, 0)
 
     def begin(self):
         """Once its boxes are known: what an earlier life left, and the seats that may take."""
-        self.listed(list(self.manager.boxes()))
-        self.world.at(self.book.until, self.reserve)
+        self.boxes_listed(list(self.manager.listed_boxes()))
+        self.world.call_at(self.seat_book.until, self.publish_seats)
 
-    def here(self):
-        return self.manager.up and self.manager.life == self.life
+    def active(self):
+        return self.manager.up and self.manager.incarnation == self.incarnation
 
     # Who is alive
 
-    def ring(self, alarm):
-        if alarm != self.alarm or not self.here() or self.manager.stands(self.ring, alarm):
+    def timer_fires(self, alarm):
+        if alarm != self.timer or not self.active() or self.manager.deferred_by_stall(self.timer_fires, alarm):
             return
         self.send(self.swim.tick(self.world.now))
-        self.hear_changes()
+        self.apply_changes()
 
     def send(self, out):
         for address, message in out:
-            self.play.datagram(self.name, address, NET, self.play.member_hears, address, message, self.name)
+            self.play.send_datagram(
+                self.name, address, NETWORK_DELAY, self.play.member_message_arrives, address, message, self.name
+            )
 
-    def heard(self, message, sender):
+    def message_arrives(self, message, sender):
         self.send(self.swim.heard(message, sender, self.world.now))
-        self.hear_changes()
+        self.apply_changes()
 
-    def hear_changes(self):
-        for news in self.swim.taken_changes():
-            self.view += 1
+    def apply_changes(self):
+        for change in self.swim.taken_changes():
+            self.change_count += 1
             self.play.records.append(
-                (self.world.now, "member", self.name, news.name, news.state.name.lower(), news.boot)
+                (self.world.now, "member", self.name, change.name, change.state.name.lower(), change.boot)
             )
-            if news.state in (State.DEAD, State.LEFT):
-                self.take_over(news.name)
-        self.alarm += 1
+            if change.state in (State.DEAD, State.LEFT):
+                self.take_over(change.name)
+        self.timer += 1
         if self.swim.me.state is not State.LEFT:
-            self.world.at(max(self.world.now + 10, self.swim.due()), self.ring, self.alarm)
+            self.world.call_at(max(self.world.now + 10, self.swim.due()), self.timer_fires, self.timer)
 
     def leave(self):
         self.send(self.swim.leave())
 
     # Seats
 
-    def reserve(self):
+    def publish_seats(self):
         """Tells the module of the seats that may be taken without it, where that changed."""
-        made = self.book.reserved(self.world.now)
-        if self.here() and made != self.told:
-            self.told = made
-            self.manager.runner.seats_reserved(*made)
+        seats = self.seat_book.reserved(self.world.now)
+        if self.active() and seats != self.last_reserved:
+            self.last_reserved = seats
+            self.manager.runner.seats_reserved(*seats)
 
-    def listed(self, boxes):
+    def boxes_listed(self, boxes):
         """Boxes that the list names only now may hold sessions of an earlier life."""
-        self.view += 1
-        if self.book.listed(boxes, self.world.now):
-            self.reserve()
+        self.change_count += 1
+        if self.seat_book.listed(boxes, self.world.now):
+            self.publish_seats()
         self.take_over(self.name, boxes)
 
     # Taking over
 
-    def take_over(self, of, boxes=None):
-        for box in self.manager.boxes() if boxes is None else boxes:
-            if (box, of) not in self.jobs:
-                job = self.jobs[box, of] = Job(box, of)
-                self.ask(job)
+    def take_over(self, owner, boxes=None):
+        for box in self.manager.listed_boxes() if boxes is None else boxes:
+            if (box, owner) not in self.jobs:
+                job = self.jobs[box, owner] = BoxJob(box, owner)
+                self.request_sessions(job)
 
-    def may_take(self, of):
-        member = self.swim.members.get(of)
-        away = of == self.name or member is None or member.state in (State.DEAD, State.LEFT)
-        return self.here() and not self.manager.leaving and away
+    def may_take(self, owner):
+        member = self.swim.members.get(owner)
+        gone = owner == self.name or member is None or member.state in (State.DEAD, State.LEFT)
+        return self.active() and not self.manager.stopping and gone
 
-    def ask(self, job):
-        if self.here() and self.manager.stands(self.ask, job):
+    def request_sessions(self, job):
+        if self.active() and self.manager.deferred_by_stall(self.request_sessions, job):
             return
-        if not self.may_take(job.of) or not self.manager.lists(job.box):
-            self.jobs.pop((job.box, job.of), None)
+        if not self.may_take(job.owner) or not self.manager.lists_box(job.box):
+            self.jobs.pop((job.box, job.owner), None)
             return
-        job.number += 1
-        self.play.send(self.name, f"b{job.box}", NET, self.at_box, job, job.number, self.tell_sessions)
-        self.world.later(ASK, self.silent, job, job.number)
+        job.request_number += 1
+        self.play.send(
+            self.name, f"b{job.box}", NETWORK_DELAY, self.request_at_box, job, job.request_number, self.list_sessions
+        )
+        self.world.call_later(REQUEST_TIMEOUT, self.timed_out, job, job.request_number)
 
-    def at_box(self, job, number, what):
+    def request_at_box(self, job, number, operation):
         """At the box: one that is gone refuses at once, one that hangs never answers."""
-        holder = self.play.fleet.boxes[job.box]
-        if holder.dead:
-            self.answer(job, self.silent, number)
-        elif not holder.box.trouble.hang:
-            what(job, number, holder)
-
-    def answer(self, job, act, number, *said):
-        self.play.send(f"b{job.box}", self.name, NET, self.hears, act, job, number, *said)
-
-    def hears(self, act, job, number, *said):
-        if self.here() and not self.manager.stands(self.hears, act, job, number, *said) and job.number == number:
-            act(job, number, *said)
-
-    def silent(self, job, number):
+        model_box = self.play.fleet.boxes[job.box]
+        if model_box.dead:
+            self.send_answer(job, self.timed_out, number)
+        elif not model_box.box.trouble.hang:
+            operation(job, number, model_box)
+
+    def send_answer(self, job, callback, number, *content):
+        self.play.send(f"b{job.box}", self.name, NETWORK_DELAY, self.answer_arrives, callback, job, number, *content)
+
+    def answer_arrives(self, callback, job, number, *content):
+        if (
+            self.active()
+            and not self.manager.deferred_by_stall(self.answer_arrives, callback, job, number, *content)
+            and job.request_number == number
+        ):
+            callback(job, number, *content)
+
+    def timed_out(self, job, number):
         """No answer to the asking, or to the claims that are out."""
-        if not self.here() or job.number != number or self.manager.stands(self.silent, job, number):
+        if (
+            not self.active()
+            or job.request_number != number
+            or self.manager.deferred_by_stall(self.timed_out, job, number)
+        ):
             return
-        job.number += 1
-        if job.out:
+        job.request_number += 1
+        if job.claims_out:
             job.tries += 1
-            if job.tries < TRIES and self.manager.lists(job.box):
-                self.world.later(PAUSE, self.claim, job, job.number)
+            if job.tries < TRIES and self.manager.lists_box(job.box):
+                self.world.call_later(PAUSE, self.send_claims, job, job.request_number)
                 return
-            for key, epoch in job.out.items():
-                self.manager.end_there(job.box, key, epoch)
-                self.book.settled(key)
-            job.out = {}
-            self.go_on(job)
+            for key, epoch in job.claims_out.items():
+                self.manager.end_unheld(job.box, key, epoch)
+                self.seat_book.settled(key)
+            job.claims_out = {}
+            self.claim_next(job)
             return
-        self.again(job, job.course.failed())
+        self.retry(job, job.course.failed())
 
-    def again(self, job, pause):
+    def retry(self, job, pause):
         if pause is None:
-            self.jobs.pop((job.box, job.of), None)
+            self.jobs.pop((job.box, job.owner), None)
         else:
-            self.world.later(pause, self.ask, job)
+            self.world.call_later(pause, self.request_sessions, job)
 
-    def tell_sessions(self, job, number, holder):
+    def list_sessions(self, job, number, model_box):
         now, rows = self.world.now, []
-        for key, s in holder.box.sessions.items():
-            vw = self.play.by_key.get(key)
-            if s.manager == job.of and vw is not None:
+        for key, session in model_box.box.sessions.items():
+            viewing = self.play.viewing_by_key.get(key)
+            if session.manager == job.owner and viewing is not None:
                 rows.append(
-                    Row(
+                    BoxSession(
                         key,
-                        s.manager,
-                        holder.box.fence.epoch(key),
-                        s.rung,
-                        now - s.began,
-                        vw.playing and not vw.gone,
-                        vw,
+                        session.manager,
+                        model_box.box.fence.epoch(key),
+                        session.rung,
+                        now - session.began,
+                        viewing.playing and not viewing.ended,
+                        viewing,
                     )
                 )
-        self.answer(job, self.sessions, number, holder.boot, rows)
-
-    def sessions(self, job, number, boot, rows):
-        job.number += 1
-        job.rows = {r.key: r for r in rows if not self.manager.holds(r.key)}
-        job.boot, job.later, own = boot, False, job.of == self.name
-        made = plan(
-            [Session(r.key, r.owner, r.epoch, name_of(r.key), r.media or r.age < YOUNG) for r in job.rows.values()],
-            job.of,
+        self.send_answer(job, self.sessions_listed, number, model_box.boot, rows)
+
+    def sessions_listed(self, job, number, boot, rows):
+        job.request_number += 1
+        job.rows = {session.key: session for session in rows if not self.manager.knows_session(session.key)}
+        job.boot, job.claims_deferred, own = boot, False, job.owner == self.name
+        takeover_plan = plan(
+            [
+                Session(
+                    session.key,
+                    session.owner,
+                    session.epoch,
+                    viewing_name(session.key),
+                    session.media or session.age < MEDIA_GRACE,
+                )
+                for session in job.rows.values()
+            ],
+            job.owner,
             self.name,
             [self.name] if own else self.swim.alive(),
             job.course.rank,
         )
         packages = self.play.packages
-        job.ends, job.rank_left = set(made.ends), made.next
-        job.wanted = sorted(
-            made.claims, key=lambda c: (c.key in job.ends, -packages[job.rows[c.key].vw.player.package].value)
+        job.orphans, job.next_rank = set(takeover_plan.ends), takeover_plan.next
+        job.waiting_claims = sorted(
+            takeover_plan.claims,
+            key=lambda claim: (claim.key in job.orphans, -packages[job.rows[claim.key].viewing.player.package].value),
         )
-        self.go_on(job)
+        self.claim_next(job)
 
-    def go_on(self, job):
+    def claim_next(self, job):
         """The next batch of claims, or the end of this asking."""
-        own = job.of == self.name
-        while job.wanted and self.may_take(job.of):
-            most = self.play.day.site.front.held_most
-            room = len(job.wanted) if own else most - len(self.manager.viewings)
-            if not own and full(len(self.manager.viewings), most, False):
+        own = job.owner == self.name
+        while job.waiting_claims and self.may_take(job.owner):
+            max_viewings = self.play.day.site.front.held_most
+            room = len(job.waiting_claims) if own else max_viewings - len(self.manager.viewings)
+            if not own and full(len(self.manager.viewings), max_viewings, False):
                 break  # the next in the order takes them
-            may = self.ration.take(self.world.now, len(job.wanted), room)
-            if not may:
+            allowed = self.ration.take(self.world.now, len(job.waiting_claims), room)
+            if not allowed:
                 if room <= 0:
                     break
-                self.world.later(self.ration.wait(), self.wait_over, job, job.number)
+                self.world.call_later(self.ration.wait(), self.ration_ready, job, job.request_number)
                 return
-            some, job.wanted = job.wanted[:may], job.wanted[may:]
-            if self.to_claim(job, some, own):
+            batch, job.waiting_claims = job.waiting_claims[:allowed], job.waiting_claims[allowed:]
+            if self.prepare_claims(job, batch, own):
                 job.tries = 0
-                self.claim(job, job.number)
+                self.send_claims(job, job.request_number)
                 return
-        if own and not job.later and not job.wanted:
-            self.book.said(job.box)
-        self.reserve()
-        self.again(job, job.course.came(job.course.rank if job.later else job.rank_left))
-
-    def wait_over(self, job, number):
-        if self.here() and job.number == number and not self.manager.stands(self.wait_over, job, number):
-            self.go_on(job)
-
-    def to_claim(self, job, some, own):
+        if own and not job.claims_deferred and not job.waiting_claims:
+            self.seat_book.said(job.box)
+        self.publish_seats()
+        self.retry(job, job.course.came(job.course.rank if job.claims_deferred else job.next_rank))
+
+    def ration_ready(self, job, number):
+        if (
+            self.active()
+            and job.request_number == number
+            and not self.manager.deferred_by_stall(self.ration_ready, job, number)
+        ):
+            self.claim_next(job)
+
+    def prepare_claims(self, job, batch, own):
         """Sets down which of these claims go out now; True where any does."""
-        for c in some:
-            seat = self.manager.seat_of(job.rows[c.key].vw)
+        for claim in batch:
+            seat = self.manager.seat_of(job.rows[claim.key].viewing)
             if self.manager.has_seat(seat, own):
-                job.out[c.key] = c.epoch
-                self.book.claim(c.key, seat)
-                self.reserve()  # each is asked for with those before it counted
+                job.claims_out[claim.key] = claim.epoch
+                self.seat_book.claim(claim.key, seat)
+                self.publish_seats()  # each is asked for with those before it counted
             elif own:  # over what seats allow by now, and it bears our name
-                self.book.claim(c.key, seat)
-                self.manager.end_there(job.box, c.key, job.rows[c.key].epoch)
+                self.seat_book.claim(claim.key, seat)
+                self.manager.end_unheld(job.box, claim.key, job.rows[claim.key].epoch)
             else:
-                job.later = job.later or bool(self.book.reserved(self.world.now).boxes)
-        return bool(job.out)
-
-    def claim(self, job, number):
-        if not self.here() or job.number != number or self.manager.stands(self.claim, job, number):
+                job.claims_deferred = job.claims_deferred or bool(self.seat_book.reserved(self.world.now).boxes)
+        return bool(job.claims_out)
+
+    def send_claims(self, job, number):
+        if (
+            not self.active()
+            or job.request_number != number
+            or self.manager.deferred_by_stall(self.send_claims, job, number)
+        ):
             return
-        job.number += 1
-        self.play.send(self.name, f"b{job.box}", NET, self.at_box, job, job.number, self.grant)
-        self.world.later(ASK, self.silent, job, job.number)
+        job.request_number += 1
+        self.play.send(
+            self.name, f"b{job.box}", NETWORK_DELAY, self.request_at_box, job, job.request_number, self.grant_claims
+        )
+        self.world.call_later(REQUEST_TIMEOUT, self.timed_out, job, job.request_number)
 
-    def grant(self, job, number, holder):
+    def grant_claims(self, job, number, model_box):
         granted = []
-        for key, epoch in job.out.items():
-            held = holder.box.sessions.get(key)
+        for key, epoch in job.claims_out.items():
+            held = model_box.box.sessions.get(key)
             life_before = held.life if held is not None else None
-            good, before = holder.box.adopt(key, epoch, self.name, self.life)
-            if good:
+            granted_here, previous = model_box.box.adopt(key, epoch, self.name, self.incarnation)
+            if granted_here:
                 granted.append(key)
-                if before not in (None, self.name):
-                    self.play.moved(holder, key, before, life_before)
-                self.play.records.append((self.world.now, "adopted", self.name, key, epoch, before))
-                if not self.here():
-                    self.play.begin_lease(job.box, key, self.name, self.life)
-                if job.rows[key].vw.gone or not job.rows[key].vw.playing:
-                    self.play.without_media(holder, key)
-        self.answer(job, self.granted, number, granted)
-
-    def granted(self, job, number, keys):
-        job.number += 1
-        claims, job.out = job.out, {}
+                if previous not in (None, self.name):
+                    self.play.notify_moved(model_box, key, previous, life_before)
+                self.play.records.append((self.world.now, "adopted", self.name, key, epoch, previous))
+                if not self.active():
+                    self.play.begin_lease(job.box, key, self.name, self.incarnation)
+                if job.rows[key].viewing.ended or not job.rows[key].viewing.playing:
+                    self.play.begin_media_timeout(model_box, key)
+        self.send_answer(job, self.claims_granted, number, granted)
+
+    def claims_granted(self, job, number, keys):
+        job.request_number += 1
+        claims, job.claims_out = job.claims_out, {}
         for key in claims:
             if key in keys:
-                self.manager.adopted(job.box, job.boot, key, claims[key], job.rows[key], key in job.ends)
+                self.manager.claim_granted(job.box, job.boot, key, claims[key], job.rows[key], key in job.orphans)
                 if key not in self.manager.ending:
-                    self.book.settled(key)
+                    self.seat_book.settled(key)
             else:
-                self.book.settled(key)
-        self.go_on(job)
+                self.seat_book.settled(key)
+        self.claim_next(job)
 
-    def ended_there(self, key):
+    def session_ended(self, key):
         """A box ended a session: where we had claimed it only for that, its seat is free."""
-        if self.book.settled(key):
-            self.reserve()
+        if self.seat_book.settled(key):
+            self.publish_seats()
 
 
-def name_of(key):
+def viewing_name(key):
     """By which a viewing belongs to one of the living: manager, life and number of its set-up."""
     return "%d.%d.%d" % key[:3]
--- a/flaxscale/model/world.py
+++ b/flaxscale/model/world.py
@@ -9,31 +9,38 @@
     """The clock is whole tenths of a millisecond; what is due at one time is done in the order it was asked for."""
 
     def __init__(self, seed):
-        self.now, self.seq, self.todo, self.seed, self.dices, self.done = 1_000_000, 0, [], seed, {}, 0
-
-    def at(self, time, act, *args):
-        self.seq += 1
-        heapq.heappush(self.todo, (time if time > self.now else self.now, self.seq, act, args))
-
-    def later(self, span, act, *args):
-        self.at(self.now + span, act, *args)
-
-    def every(self, span, act, *args):
+        self.now, self.sequence, self.queue, self.seed, self.dice_by_stream, self.events_run = (
+            1_000_000,
+            0,
+            [],
+            seed,
+            {},
+            0,
+        )
+
+    def call_at(self, time, callback, *args):
+        self.sequence += 1
+        heapq.heappush(self.queue, (time if time > self.now else self.now, self.sequence, callback, args))
+
+    def call_later(self, delay, callback, *args):
+        self.call_at(self.now + delay, callback, *args)
+
+    def call_every(self, delay, callback, *args):
         def again():
-            act(*args)
-            self.later(span, again)
+            callback(*args)
+            self.call_later(delay, again)
 
-        self.later(span, again)
+        self.call_later(delay, again)
 
     def dice(self, stream):
-        if stream not in self.dices:
-            self.dices[stream] = Dice(self.seed, stream)
-        return self.dices[stream]
+        if stream not in self.dice_by_stream:
+            self.dice_by_stream[stream] = Dice(self.seed, stream)
+        return self.dice_by_stream[stream]
 
     def run(self, until):
-        todo = self.todo
-        while todo and todo[0][0] <= until:
-            self.now, _, act, args = heapq.heappop(todo)
-            self.done += 1
-            act(*args)
+        queue = self.queue
+        while queue and queue[0][0] <= until:
+            self.now, _, callback, args = heapq.heappop(queue)
+            self.events_run += 1
+            callback(*args)
         self.now = until
--- a/tests/test_among.py
+++ b/tests/test_among.py
@@ -11,8 +11,8 @@
 from flaxscale.lab.shapes import TroubleRow, read_day
 from flaxscale.leases.granter import Granter
 from flaxscale.members.adopt import Fence
-from flaxscale.model.duties import Service
-from flaxscale.model.judge import Judge, played
+from flaxscale.model.duties import CatalogueService
+from flaxscale.model.judge import RuleChecker, play_and_check
 from flaxscale.model.play import Play
 from flaxscale.rules.audit import judge as judge_accounts
 from tests.test_day import ROOT, flaxscale
@@ -47,7 +47,7 @@
 
     def test_one_that_stands_still_loses_its_share_and_ends_nothing_when_it_goes_on(self):
         day = talking(length_s=24.0)
-        outcome, _ = played(day, 3, [crash(6, 0, 7.0, "manager_stall"), crash(16, 1, 0.3, "manager_restart")])
+        outcome, _ = play_and_check(day, 3, [crash(6, 0, 7.0, "manager_stall"), crash(16, 1, 0.3, "manager_restart")])
         self.assertEqual((), outcome.breaks)
         self.assertTrue(
             {"members adopted", "members dead", "members left"} <= {mark.rpartition(" x")[0] for mark in outcome.marks},
@@ -57,7 +57,7 @@
     def test_both_sides_of_a_cut_claim_and_a_box_grants_each_epoch_once(self):
         day = talking(length_s=24.0)
         rows = [TroubleRow(at_s=7, what="way", kind="cut", between=[["m0", "m1"], ["m2", "m3", "m4"]], for_s=7)]
-        outcome, _ = played(day, 3, rows)
+        outcome, _ = play_and_check(day, 3, rows)
         self.assertEqual((), outcome.breaks)
         self.assertIn("members adopted", {mark.rpartition(" x")[0] for mark in outcome.marks})
 
@@ -67,7 +67,7 @@
             return key in self.held
 
         with unittest.mock.patch.object(Fence, "claim", granted):
-            outcome, _ = played(day, 3, rows)
+            outcome, _ = play_and_check(day, 3, rows)
         self.assertIn("claims", {kind for kind, _ in outcome.breaks})
 
     def test_leases_pass_from_the_dead_and_a_granter_that_begins_its_tokens_anew_is_found(self):
@@ -78,9 +78,9 @@
             crash(15, 1, 5.0, "manager_stall"),
         ]
         play = Play(msgspec.structs.replace(day, troubles=rows), 2)
-        judge = Judge(play)
+        checker = RuleChecker(play)
         play.run()
-        self.assertEqual((), judge.found())
+        self.assertEqual((), checker.all_violations())
         acts = {}
         for time, what, who, *row in play.records:
             if what == "act":
@@ -91,15 +91,15 @@
         for piece in [p for p, rows in acts.items() if p != "copies"]:  # it acts once in five seconds
             self.assertTrue(any(140_000 > at > 60_000 for at, _ in acts[piece]), piece)
         self.assertTrue(any(len({who for _, who in rows}) > 1 for rows in acts.values()))
-        start = Service.start
+        start = CatalogueService.start
 
         def anew(self):
             start(self)
             self.granter = Granter(self.tasks, self.world.now)
             self.granter.seen = lambda token: None  # holders tell it what they know: that alone would mend it
 
-        with unittest.mock.patch.object(Service, "start", anew):
-            outcome, _ = played(day, 2, rows)
+        with unittest.mock.patch.object(CatalogueService, "start", anew):
+            outcome, _ = play_and_check(day, 2, rows)
         self.assertIn("leases", {kind for kind, _ in outcome.breaks})
 
     def test_one_seed_gives_one_course_to_the_last_record(self):
@@ -130,9 +130,9 @@
             self.assertEqual([], judge_accounts(out).bad())
             by_processes = self.of_processes(out)
             play = Play(read_day(str(file), sockets=False), 3)
-            judge = Judge(play)
+            checker = RuleChecker(play)
             play.run()
-        self.assertEqual((), judge.found())
+        self.assertEqual((), checker.all_violations())
         in_the_model = self.of_model(play)
         for died, taken, strangers in (by_processes, in_the_model):
             self.assertEqual({("m1", "m0"), ("m2", "m0"), ("m2", "m1")}, died)
@@ -179,5 +179,9 @@
         return (
             deaths(play),
             taken,
-            {key for key, s in stand if s.manager in ("m0", "m1") and s.life < play.named(s.manager).life},
+            {
+                key
+                for key, s in stand
+                if s.manager in ("m0", "m1") and s.life < play.manager_named(s.manager).incarnation
+            },
         )
--- a/tests/test_hunt.py
+++ b/tests/test_hunt.py
@@ -153,7 +153,7 @@
             ),
             ("update_server", None, crash, "rule 3"),
         ):
-            sound = judge.played(day, 2, troubles)[0]
+            sound = judge.play_and_check(day, 2, troubles)[0]
             self.assertEqual((), sound.breaks, name)
             if planted is None:
                 from flaxscale.decide import Manager
@@ -165,7 +165,7 @@
                         whole(self, row)
 
             with unittest.mock.patch(policy + name, planted):
-                found = judge.played(day, 2, troubles)[0]
+                found = judge.play_and_check(day, 2, troubles)[0]
             self.assertIn(kind, {k for k, _ in found.breaks}, name)
 
     def test_days_that_once_broke_something_break_nothing_now(self):
@@ -174,7 +174,7 @@
         for file in files:
             seed = int(file.read_text().partition("--seed ")[2].partition(".")[0])
             day = read_day(file, sockets=False)
-            outcome, _ = judge.played(day, seed, day.troubles)
+            outcome, _ = judge.play_and_check(day, seed, day.troubles)
             self.assertEqual((), outcome.breaks, file.name)
 
     def test_a_hunt_that_is_stopped_goes_on_in_any_number_of_processes(self):
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -104,13 +104,13 @@
         for one_way in (False, True):
             cut = msgspec.structs.replace(cut, one_way=one_way)
             play, came, sent = Play(msgspec.structs.replace(quiet, troubles=[cut]), 5), [], []
-            at_box, tune = play.at_box, play.set_up
-            play.at_box = lambda manager, life, vw, key, *more: (
+            at_box, tune = play.set_up_at_box, play.set_up
+            play.set_up_at_box = lambda manager, life, vw, key, *more: (
                 came.append((play.day_s(), key)),
                 at_box(manager, life, vw, key, *more),
             )
             play.set_up = lambda manager, vw, nth, *more: (
-                sent.append((play.day_s(), (manager.me, manager.life, vw.id, nth))),
+                sent.append((play.day_s(), (manager.number, manager.incarnation, vw.id, nth))),
                 tune(manager, vw, nth, *more),
             )
             play.run()
@@ -136,7 +136,7 @@
         self.assertEqual(0, Play(day, 2).run().totals()["fell"])
         play = Play(day, 2)
         for manager in play.managers:
-            manager.runner.manager.slow_start_allows = lambda srv: True
+            manager.runner.manager.slow_start_allows = lambda server: True
         self.assertGreater(play.run().totals()["fell"], 0)
 
     def test_intervals_and_paired_comparison(self):
--- a/tests/test_peaks_plan.py
+++ b/tests/test_peaks_plan.py
@@ -8,7 +8,7 @@
 
 from flaxscale.lab.shapes import read_day
 from flaxscale.model import rehearse
-from flaxscale.model.bound import KNEE, Room, Want, most
+from flaxscale.model.bound import KNEE, BoxCapacity, Demand, max_worth
 from flaxscale.model.play import Play
 from flaxscale.peaks.announce import Announcement
 from flaxscale.peaks.lengths import fit
@@ -61,10 +61,10 @@
     def test_no_whole_placement_earns_more_on_small_fleets(self):
         draw = random.Random(3)
         for _ in range(25):
-            rooms = {b: Room(draw.choice((150.0, 300.0, 520.0)), b % 2, 10) for b in range(3)}
+            rooms = {b: BoxCapacity(draw.choice((150.0, 300.0, 520.0)), b % 2, 10) for b in range(3)}
             uplinks = {0: draw.choice((300.0, 900.0)), 1: 350.0}
             wants = [
-                Want(
+                Demand(
                     t,
                     draw.randint(1, 2),
                     draw.choice((1.0, 3.0)),
@@ -75,21 +75,21 @@
                 )
                 for t in range(2)
             ]
-            bound, best = most(wants, rooms, uplinks, self.KB, self.WORTH, 7), self.best(wants, rooms, uplinks)
+            bound, best = max_worth(wants, rooms, uplinks, self.KB, self.WORTH, 7), self.best(wants, rooms, uplinks)
             self.assertGreaterEqual(bound + 1e-9, best)
             self.assertLessEqual(bound * KNEE, sum(w.count * w.value for w in wants) + 1e-9)
 
     def test_by_hand(self):
-        rooms, uplinks = {1: Room(500.0, 0, 10)}, {0: 10_000.0}
+        rooms, uplinks = {1: BoxCapacity(500.0, 0, 10)}, {0: 10_000.0}
         # 500 kB for two viewers: 400 + 100 or 200 + 200 or, in parts, 250 each: 2 x (0.6 + 0.4 x 50/200) = 1.4.
         self.assertAlmostEqual(
-            1.4 / KNEE, most([Want("a", 2, 1.0, 0, 2, 1.0, [1])], rooms, uplinks, self.KB, self.WORTH, 7)
+            1.4 / KNEE, max_worth([Demand("a", 2, 1.0, 0, 2, 1.0, [1])], rooms, uplinks, self.KB, self.WORTH, 7)
         )
-        self.assertEqual(0.0, most([Want("a", 2, 1.0, 0, 2, 1.0, [9])], rooms, uplinks, self.KB, self.WORTH, 7))
-        one = Want("a", 5, 1.0, 0, 2, 1.0, [1], seats=1)
-        self.assertAlmostEqual(1.0 / KNEE, most([one], rooms, uplinks, self.KB, self.WORTH, 7))
+        self.assertEqual(0.0, max_worth([Demand("a", 2, 1.0, 0, 2, 1.0, [9])], rooms, uplinks, self.KB, self.WORTH, 7))
+        one = Demand("a", 5, 1.0, 0, 2, 1.0, [1], seats=1)
+        self.assertAlmostEqual(1.0 / KNEE, max_worth([one], rooms, uplinks, self.KB, self.WORTH, 7))
         with self.assertRaisesRegex(ValueError, "stall price"):
-            most([one], rooms, uplinks, self.KB, self.WORTH, 1)
+            max_worth([one], rooms, uplinks, self.KB, self.WORTH, 1)
 
     def test_no_played_second_earns_more_than_its_bound(self):
         for seed in (1, 2):
@@ -225,7 +225,7 @@
         day = msgspec.structs.replace(day, troubles=[*day.troubles, row])
         play = Play(day, 1)
         play.run()
-        keeper = play.managers[1].keeper.keeper
+        keeper = play.managers[1].room_keeper.keeper
         self.assertGreater(keeper.since, 46)
         self.assertGreater(keeper.believed(day.peaks[0], 62.0), 0.6)
         self.assertEqual([], play.faults)
@@ -265,9 +265,9 @@
 
         def cancel():
             for manager in play.managers:
-                manager.keeper.keeper.replace(())
+                manager.room_keeper.keeper.replace(())
 
-        play.world.at(at + 10 * 10_000 + 45 * 10_000, cancel)
+        play.world.call_at(at + 10 * 10_000 + 45 * 10_000, cancel)
         play.run()
         self.assertGreater(play.seconds[43].kept.get("eid", 0.0), 0)
         self.assertEqual(0.0, play.seconds[48].kept.get("eid", 0.0))
