--- a/flaxscale/model/bound.py
+++ b/flaxscale/model/bound.py
@@ -1,13 +1,13 @@
-"""What no placement can earn more than, in one second of a day: a linear relaxation, solved by HiGHS.
+"""Upper bound of the worth that any placement earns in one second of a day: a linear program, solved by HiGHS.
 
-It knows every viewer who wants to watch in that second and every box as it is, and may move all of them anew each
-second at no price, cut viewings into parts and give each live viewer the rate of one who joins a stream. What it
-leaves out only ever costs a real placement something, so that no placement earns more.
+The relaxation knows every viewer who wants to watch in that second and the state of every box. It may move all viewers
+each second at no cost, split viewings, and give each live viewer the rate of one who joins a stream. Everything that
+it leaves out can only cost a real placement worth, so no placement earns more.
 
-Overload: a box asked u times what its link (or its rack's uplink) gives delivers 1/u and loses stall * (0.98 - 1/u)
-of the worth of each viewing. With worths of at most 1 and a stall price of 1/0.98 or more, cutting each box's load
-by its own u leaves a placement that fits and earns at least 0.98 times as much: so the bound is the relaxation's
-worth over 0.98 (KNEE).
+Overload: a box whose load is u times the capacity of its link (or of its rack's uplink) delivers 1/u and loses
+stall * (0.98 - 1/u) of the worth of each viewing. With worths of at most 1 and a stall price of at least 1/0.98,
+dividing each box's load by its own u leaves a feasible placement that earns at least 0.98 times as much. The bound is
+therefore the worth of the relaxation divided by 0.98 (KNEE).
 """
 
 from collections import Counter
@@ -16,22 +16,22 @@
 from scipy.optimize import linprog
 from scipy.sparse import coo_array
 
-KNEE = 0.98  # of a viewing's rate: delivered at least this, nothing is lost
+KNEE = 0.98  # share of a viewing's rate; no worth is lost if at least this is delivered
 
 
 class Demand:
-    """Viewers of one title who can use the same rungs: how many, of what value each, and where it is held."""
+    """Viewers of one title who can use the same rungs: their number, the value of each, and the title's boxes."""
 
     __slots__ = "title", "count", "value", "floor", "top", "scale", "boxes", "seats"
 
     def __init__(self, title, count, value, floor, top, scale, boxes, seats=0):
-        """scale: of the ladder's rates, that of joining a stream included. seats: of the title in all; 0: any."""
+        """scale: factor on the ladder's rates, including the join factor. seats: total of the title; 0: no limit."""
         self.title, self.count, self.value, self.floor, self.top = title, count, value, floor, top
         self.scale, self.boxes, self.seats = scale, boxes, seats
 
 
 class BoxCapacity:
-    """One box: kB a second of its link now, its rack, and the streams that it can hold."""
+    """Capacity of one box: present link rate in kB a second, rack, and number of streams."""
 
     __slots__ = "link_kb", "rack", "slots"
 
@@ -40,10 +40,10 @@
 
 
 def max_worth(demands, boxes_by_id, uplinks, kb, worth, stall):
-    """The worth of this second that no placement exceeds.
+    """Upper bound of the worth that any placement earns in one second.
 
-    wants: [Want]. rooms: {box: Room}; boxes that are not in it take nothing. uplinks: {rack: kB a second}.
-    kb, worth: the ladder. ValueError where the proof does not hold.
+    demands: [Demand]. boxes_by_id: {box: BoxCapacity}; other boxes take no viewings. uplinks: {rack: kB a second}.
+    kb, worth: the ladder. Raises ValueError if the conditions of the proof do not hold.
     """
     if max(worth) > 1 or stall < 1 / KNEE:
         raise ValueError(f"worths of at most 1 and a stall price of {1 / KNEE:.3f} or more are needed")
@@ -82,7 +82,7 @@
                     put(row(slots, b, float(room.slots)), column, 1.0)
                     if demand.seats:
                         put(row(seats, demand.title, float(demand.seats)), column, 1.0)
-                else:  # no more at a rung than at the one under it
+                else:  # no more viewers at a rung than at the one below it
                     chain = len(limits)
                     limits.append(0.0)
                     put(chain, column, 1.0)
@@ -98,11 +98,11 @@
 
 
 def bound_of_play(play):
-    """The bound of the present second of a Play: its watchers, its boxes as they are."""
+    """The bound of the current second of a Play, from its watchers and the state of its boxes."""
     site, now, fleet = play.day.site, play.world.now, play.fleet
     ladder = site.ladder
     packages, top_rung = play.packages, len(ladder.kb) - 1
-    # Who wants to watch now, and who still does because it began late: both can earn.
+    # Viewers who want to watch now, and those still watching because they started late: both can earn.
     playing = {viewing.player for viewing in play.viewing_by_key.values() if viewing.playing and not viewing.ended}
     counted = Counter(
         (player.request.title, player.package, player.request.top) for player in {*play.watchers, *playing}
--- a/flaxscale/model/fleet.py
+++ b/flaxscale/model/fleet.py
@@ -1,4 +1,4 @@
-"""Boxes, their racks and the list in virtual time. What a box does is standins.box.Box, as on sockets."""
+"""Boxes, their racks and the server list in virtual time. A box's behaviour is standins.box.Box, as on sockets."""
 
 from collections import defaultdict
 
@@ -10,12 +10,12 @@
 
 
 class ModelBox:
-    """One box: the pure stand-in, what its rack asks besides, and what it tells."""
+    """One box: the stand-in without sockets, the load of its rack, and its load reports."""
 
     def __init__(self, fleet, place, started_at):
         self.fleet, self.place, self.dead, self.boot = fleet, place, False, 0
         self.counted_load, self.box = None, None
-        self.lease_fence = Fence()  # it outlives the box's process: it is on its disk
+        self.lease_fence = Fence()  # on disk, so it outlives the box's process
         self.start(started_at)
 
     def start(self, started_at):
@@ -26,7 +26,7 @@
         self.update_load()
 
     def update_load(self):
-        """Something that it asks of its link has changed."""
+        """Recomputes the load of the box's link and adds the difference to its rack."""
         if self.counted_load is not None:
             self.fleet.rack_load[self.place.rack] -= self.counted_load
         self.counted_load = 0.0 if self.dead else self.box.asked()
@@ -46,10 +46,10 @@
 
 
 class Fleet:
-    """All boxes, and the list that tells of them late. managers: those who are told."""
+    """All boxes, and the server list, which delivers their changes to managers with a delay."""
 
     def __init__(self, world, day, site, sense, send):
-        """send(from, to, span, act, *args): by the ways between parties."""
+        """send(sender, receiver, delay, callback, *args): delivers along the network path between them."""
         self.world, self.day, self.site, self.sense, self.send = world, day, site, sense, send
         self.seed, self.set_up_time = world.seed, round(day.work_ms * 10)
         fleet = day.site.fleet
@@ -95,7 +95,7 @@
         )
 
     def update_list(self, box):
-        """The list hears of it, and tells every manager as late as it is."""
+        """Updates the list entry of a box and sends it to every manager after the list's delay."""
         row = self.entry_of(box)
         if self.listed_entries.get(box.place.id) != row:
             self.listed_entries[box.place.id] = row
--- a/flaxscale/model/judge.py
+++ b/flaxscale/model/judge.py
@@ -1,8 +1,8 @@
-"""The rules as a play in virtual time shows them, and what the play came to: for the hunt.
+"""Checks the operators' rules during a simulated day and computes its result, for the hunt.
 
-Judged from what passes between the parts of the model, not from what a manager believes: `Judge` stands around a few
-of the play's own calls. Rules 2 (for packages that are unsafe) and 6 need pushes and rations, which days of the model
-lack.
+Violations are detected from the messages between the parts of the model, not from a manager's state: `RuleChecker`
+wraps several methods of the simulation. Rules 2 (for packages that are unsafe) and 6 need pushes and rations, which
+days of the model lack.
 """
 
 from collections import Counter, defaultdict
@@ -17,19 +17,20 @@
 from .duties import SERVICE
 from .play import SECOND, Play
 
-DRAIN_SLACK = 500  # as the checker of sockets has it
-BOUND_EVERY = 2  # seconds between two at which the bound is worked out
-TAKEOVER_LIMIT = 80_000  # a death is known and claimed within this, where nothing else is wrong
-ORPHAN_LIMIT = 50_000  # and what nobody holds is over so long after its lease
-MAX_DETAILS = 3  # breaks of one kind that are told in words
+# Times are tenths of a millisecond, except where a unit is given.
+DRAIN_SLACK = 500  # added to the drain grace, as in the checker for processes
+BOUND_EVERY = 2  # interval in seconds at which the bound is computed
+TAKEOVER_LIMIT = 80_000  # without other faults, a death is detected and its sessions claimed within this time
+ORPHAN_LIMIT = 50_000  # a session without a holder must end within this time after its lease
+MAX_DETAILS = 3  # violations reported per kind
 
 
 class RuleChecker:
-    """Stands around one Play from before it begins."""
+    """Wraps methods of one Play and collects rule violations; create it before the run."""
 
     def __init__(self, play):
         self.play, self.violations, self.attempts_out, self.answer_counts = play, [], Counter(), Counter()
-        self.not_ready_since = defaultdict(dict)  # manager: {box: since when it was told that it drains or is gone}
+        self.not_ready_since = defaultdict(dict)  # manager: {box: time when its list first said draining or gone}
         self.drain_grace = round(play.day.site.rules.drain_grace_ms * 10)
         play.tap = self.observe
         for manager in play.managers:
@@ -60,24 +61,29 @@
         setattr(owner, name, called)
 
     def set_up_arrives(self, manager, incarnation, viewing, key, server, rung, sent_at, boot):
-        """A set-up reaches a box: from whom, and whether that one had been told of the box's present start."""
-        told = self.known_start.get((manager.number, manager.incarnation, server), 0)
-        self.set_up_arrivals[server].append((self.play.world.now, told >= self.play.fleet.boxes[server].box.started_at))
+        """A set-up reaches a box: records whether its manager's list already had the box's present start."""
+        started_at = self.known_start.get((manager.number, manager.incarnation, server), 0)
+        self.set_up_arrivals[server].append(
+            (self.play.world.now, started_at >= self.play.fleet.boxes[server].box.started_at)
+        )
 
     def box_crashes(self, model_box):
-        """Pushed over while cold. It is the managers' doing where over two thirds came from those who knew of the start
-        (the operators' page on the fleet's test); nobody can keep a pace for a start that no list has told yet.
+        """Checks a box that failed from overload while cold. It counts as a violation if over two thirds of the set-ups
+        came from managers that knew of its start (the operators' page on the fleet's test); no manager can limit its
+        rate for a start that the list has not reported yet.
         """
         if model_box.box.fallen:
             fall_window = round(self.play.day.site.rules.fall_ms * 10)
             known = [
-                told for at, told in self.set_up_arrivals[model_box.place.id] if at > self.play.world.now - fall_window
+                informed
+                for at, informed in self.set_up_arrivals[model_box.place.id]
+                if at > self.play.world.now - fall_window
             ]
             if 3 * sum(known) > 2 * len(known):
                 self.report(
                     "rule 4",
-                    f"box {model_box.place.id} pushed over while cold: {sum(known)} of {len(known)} "
-                    "set-ups from managers that had been told of its start",
+                    f"box {model_box.place.id} overloaded while cold: {sum(known)} of {len(known)} "
+                    "set-ups from managers that knew of its start",
                 )
 
     def entry_delivered(self, manager, row):
@@ -89,7 +95,7 @@
                 self.not_ready_since[manager.number].setdefault(row.server, self.play.world.now)
 
     def full_list_delivered(self, manager, incarnation):
-        """After a start a manager hears of all boxes at once; those that are not named are gone."""
+        """Handles the full list after a manager's start; boxes missing from it are gone."""
         if manager.up and manager.incarnation == incarnation and self.play.world.now >= manager.stalled_until:
             rows = {row.server: row for row in self.play.fleet.full_list()}
             self.known_start |= {(manager.number, incarnation, row.server): row.started_at for row in rows.values()}
@@ -103,13 +109,14 @@
         self.violations.append((kind, f"{self.play.day_s():.2f} s: {detail}"))
 
     def observe(self, now, event, actions):
+        """Checks each event and the resulting actions: one tune-in in flight and one answer per viewing."""
         if isinstance(event, interface.AttemptEnded):
             self.attempts_out[event.id] -= 1
         for action in actions:
             if isinstance(action, interface.TuneIn):
                 self.attempts_out[action.id] += 1
                 if self.attempts_out[action.id] > 1:
-                    self.report("rule 2", f"viewing {action.id}: two tune-ins out")
+                    self.report("rule 2", f"viewing {action.id}: two tune-ins in flight")
             elif isinstance(action, (interface.Block, interface.Abort)):
                 self.answer_counts[action.id] += 1
         if isinstance(event, interface.AttemptSucceeded):
@@ -124,12 +131,12 @@
         if since is not None and self.play.world.now > since + self.drain_grace + DRAIN_SLACK:
             self.report(
                 "rule 3",
-                f"m{manager.number} sets up at {server}, of which it was told "
-                f"{(self.play.world.now - since) / 10_000:.1f} s before that it drains or is gone",
+                f"m{manager.number} sets up at {server}, which its list reported as draining or gone "
+                f"{(self.play.world.now - since) / 10_000:.1f} s before",
             )
 
     def score(self):
-        """Each second: seats, by the sessions that play at boxes for a manager's present life."""
+        """Each second: checks seats, by the sessions that play at boxes for a manager's present incarnation."""
         held = Counter()
         for model_box in self.play.fleet.boxes.values():
             for key, session in model_box.box.sessions.items():
@@ -149,10 +156,10 @@
             if seats and count > seats:
                 self.report("rule 5", f"{name} holds {count} of {title} in {package}, seats {seats}")
 
-    # Processes among each other
+    # Faults between processes
 
     def record_disturbances(self):
-        """Since when each way passes, each box answers and each manager goes on, to the second."""
+        """Records, to the second, when each path was last cut, each box last hung and each manager was last down."""
         now = self.play.world.now
         self.disturbed_at |= dict.fromkeys(self.play.ways.states, now)
         for id, model_box in self.play.fleet.boxes.items():
@@ -163,9 +170,9 @@
                 self.manager_down_at[m] = now
 
     def lease_expires(self, model_box, boot, key, name, incarnation):
-        """A viewing that plays is lost with its manager: nobody's fault only where nobody could have claimed it.
+        """A playing viewing is lost with its manager: a violation if another manager could have claimed it.
 
-        Where a package has seats they may all have been taken at the manager that was to claim it.
+        Packages with seats are skipped: all seats of the claiming manager may have been taken.
         """
         session, viewing, now = model_box.box.sessions.get(key), self.play.viewing_by_key.get(key), self.play.world.now
         lease, box = round(self.play.day.site.fleet.lease_ms * 10), f"b{model_box.place.id}"
@@ -198,13 +205,13 @@
             self.report("work in hand", f"a viewing of {name} was lost at {box}; {able} could have claimed it")
 
     def end_session(self, model_box, key, manager=None, incarnation=0):
-        """An order that a box obeys is of who holds the session."""
+        """Checks that an end order that a box obeys comes from the manager that holds the session."""
         session = model_box.box.sessions.get(key)
         if manager is not None and session is not None and session.manager != manager.name:
             self.report("work in hand", f"{manager.name} ended a viewing that {session.manager} holds")
 
     def check_orphans(self):
-        """Sessions whose manager's life is over, beyond their lease."""
+        """Checks for sessions whose manager's incarnation is over and whose lease has expired."""
         now, orphaned = self.play.world.now, {}
         limit = round(self.play.day.site.fleet.lease_ms * 10) + ORPHAN_LIMIT
         for model_box in self.play.fleet.boxes.values():
@@ -216,13 +223,13 @@
                     orphaned[key] = self.orphaned_since.get(key, now)
                     if now - orphaned[key] > limit:
                         self.report(
-                            "work in hand", f"a session of {session.manager} at b{model_box.place.id} is nobody's"
+                            "work in hand", f"a session of {session.manager} at b{model_box.place.id} has no holder"
                         )
                         orphaned[key] = now
         self.orphaned_since = orphaned
 
     def all_violations(self):
-        """[(kind, detail)], a few of each kind."""
+        """All violations as [(kind, detail)], at most MAX_DETAILS of each kind."""
         play, violations = self.play, [*self.violations, *record_violations(self.play)]
         unanswered = sum(row.outcomes["unanswered"] for row in play.seconds.values())
         if unanswered:
@@ -237,7 +244,7 @@
 
 
 def record_violations(play):
-    """[(kind, detail)] of what boxes and the service wrote down of claims, grants and acts under leases."""
+    """Violations in the records of claims, grants and acts under leases, as [(kind, detail)]."""
     violations, epochs, tokens = [], {}, {}
 
     def token_of(who, token, resource, text):
@@ -259,7 +266,7 @@
             piece, token = row
             token_of(who, token, (SERVICE, "grants", piece), f"{time_text}token {token} of {piece} is granted to {who}")
         elif what == "both":
-            violations.append(("leases", f"{time_text}{who} holds {row[0]}, which {row[1]} holds still"))
+            violations.append(("leases", f"{time_text}{who} holds {row[0]} while {row[1]} still holds it"))
         elif what == "act":
             piece, token, place = row
             token_of(
@@ -269,21 +276,21 @@
 
 
 def share_of_bound(play, since=0, until=1 << 40):
-    """The part of what an all-knowing placement could at most earn (model/bound.py) that was earned, in a span."""
+    """Worth earned, as a share of the upper bound (model/bound.py), for seconds in [since, until)."""
     rows = [row for s, row in play.seconds.items() if row.bound and since <= s < until]
     return sum(sum(row.earned.values()) for row in rows) / sum(row.bound for row in rows) if rows else 1.0
 
 
 def undisturbed_share(day, seed):
-    """The same of a day without troubles, to hold others against."""
+    """The same of a day without troubles, as the baseline."""
     return share_of_bound(Play(day_with(day, []), seed, bound_every=BOUND_EVERY).run(), space.LEAD_S)
 
 
 def play_and_check(day, seed, troubles, undisturbed=None):
-    """(Outcome, totals) of a day with these troubles. quiet: as quiet_of() has it; None: loss is not worked out.
+    """(Outcome, totals) of a day with these troubles. undisturbed: from undisturbed_share(); None: no loss is computed.
 
-    Loss: how much farther from the all-knowing bound the play was than a quiet one, from its first trouble on until it
-    must have come back. What no placement could have served (all boxes gone, say) is nobody's loss.
+    Loss: how much lower the share of the bound is than in an undisturbed day, from the first trouble until the time by
+    which service must have recovered. What no placement could have served (all boxes down, say) is not a loss.
     """
     play = Play(day_with(day, troubles), seed, bound_every=BOUND_EVERY if undisturbed is not None else 0)
     checker = RuleChecker(play)
@@ -291,7 +298,7 @@
     first, healed = min((row.at_s for row in troubles), default=0), space.healed_at(troubles)
     plays = {s: row.outcomes["plays"] + row.outcomes["late"] for s, row in play.seconds.items()}
     recovery = comes_back(plays, first, healed, day.length_s) if troubles else None
-    # Deaths, claims and leases are states that a day may reach, as answers are.
+    # Deaths, claims and leases count as states that a day reached, like answers.
     process_events = defaultdict(Counter)
     for time, what, *rest in play.records:
         process_events[(time - play.began) // SECOND][f"members {rest[2] if what == 'member' else what}"] += 1
--- a/flaxscale/model/manager.py
+++ b/flaxscale/model/manager.py
@@ -1,4 +1,4 @@
-"""A session manager in virtual time: the very runner and module of the front, behind a port without sockets."""
+"""A session manager in virtual time: the front's own runner and decision module, behind a port without sockets."""
 
 from ..interface import ListKind, Outcome, ServerStatus
 from ..run import Phase, Runner
@@ -6,15 +6,15 @@
 from .duties import Duties
 from .takeover import Takeover
 
-STALL_GRACE = 500  # after a standstill, as the checker of sockets allows
+STALL_GRACE = 500  # tenths of a millisecond after a stall, as the checker for processes allows
 
 
 class ModelManager:
-    """The runner's port. Its messages take as long as the world says; what is lost is lost."""
+    """Implements the runner's port. Messages take the delays of the simulation; lost ones are not resent."""
 
-    def __init__(self, play, me):
-        self.play, self.world, self.number, self.up, self.incarnation = play, play.world, me, True, 0
-        self.name = f"m{me}"
+    def __init__(self, play, number):
+        self.play, self.world, self.number, self.up, self.incarnation = play, play.world, number, True, 0
+        self.name = f"m{number}"
         self.known_servers, self.viewings, self.timer, self.stalled_until = {}, {}, 0, 0
         self.takeover, self.duties, self.claimed, self.ending, self.moved_during_set_up = None, None, {}, {}, set()
         self.start(play.fleet.full_list())
@@ -22,7 +22,7 @@
     def start(self, rows):
         self.incarnation += 1
         self.up, self.viewings, self.stopping = True, {}, False
-        # claimed: {viewing: (key, epoch)} of what was taken over; ending: {key: epoch} of what is claimed to be ended.
+        # claimed: {viewing: (key, epoch)} of sessions taken over; ending: {key: epoch} of sessions claimed to be ended.
         self.claimed, self.ending, self.moved_during_set_up = {}, {}, set()
         sense = Sense(self.play.day.site, self.number, 0, self.play.seed * 1000 + self.number + self.incarnation * 7919)
         self.load_names, self.note_figures = sense.load_names, sense.notes
@@ -37,7 +37,7 @@
             if self.play.catalogue_service is not None:
                 self.duties = Duties(self.play, self, self.play.catalogue_service.tasks)
 
-    # What it holds, and under which name and epoch
+    # Sessions held, with their keys and epochs
 
     def listed_boxes(self):
         return [row.server for row in self.known_servers.values() if row.state is not ServerStatus.GONE]
@@ -51,11 +51,11 @@
             self.takeover.boxes_listed([row.server for row in rows if row.state is not ServerStatus.GONE])
 
     def key_of(self, id, nth):
-        """(key, epoch) of a session, or of a set-up, at its box."""
+        """(key, epoch) of a session or a set-up at its box."""
         return self.claimed.get(id) or ((self.number, self.incarnation, id, nth), 0)
 
     def knows_session(self, key):
-        """Whether a session at a box is this life's already: played, out, or claimed to be ended."""
+        """Whether a session at a box is this incarnation's already: playing, being set up, or claimed to be ended."""
         return (
             key[:2] == (self.number, self.incarnation)
             or key in self.ending
@@ -70,26 +70,26 @@
         return module.has_seat(seat, () if own else module.servers.values())
 
     def claim_granted(self, box, boot, key, epoch, row, orphan):
-        """A box granted a claim: the viewing plays on, under this manager."""
+        """Handles a granted claim: the viewing goes on under this manager."""
         viewing = row.viewing
         if orphan or viewing.id in self.viewings or self.play.fleet.boxes[box].boot != boot:
             self.end_unheld(box, key, epoch)
             return
-        if not viewing.playing:  # its player was never answered, and waits at the one that it asked
+        if not viewing.playing:  # its player got no answer and waits at the manager that it asked
             viewing = self.play.viewing_without_player(viewing, key)
         self.claimed[viewing.id] = key, epoch
         self.viewings[viewing.id], viewing.manager, viewing.incarnation = viewing, self, self.incarnation
         self.runner.session_handed_over(self.play.session_request_for(viewing, 0), box, row.rung, row.age)
-        if viewing.playing and viewing.ended:  # its player went while nobody held it
+        if viewing.playing and viewing.ended:  # its player left while no manager held the viewing
             self.runner.client_left(viewing.id)
 
     def end_unheld(self, box, key, epoch):
-        """Ends a session there that is not to be held."""
+        """Ends a session at a box that is not to be kept."""
         self.ending[key] = epoch
         self.play.send_end_order(box, key, self, epoch)
 
     def session_moved(self, incarnation, id):
-        """A box says that a viewing is another manager's now."""
+        """Handles a box's notification that another manager holds a viewing."""
         if (
             self.deferred_by_stall(self.session_moved, incarnation, id)
             or not self.up
@@ -99,7 +99,7 @@
             return
         held = self.runner.sessions.get(id)
         if held is not None and held.phase is not Phase.PLAYS:
-            self.moved_during_set_up.add(id)  # a set-up that is out: its answer is still to come
+            self.moved_during_set_up.add(id)  # the answer of the set-up is still to come
             return
         self.viewings.pop(id)
         self.claimed.pop(id, None)
@@ -107,7 +107,7 @@
             self.runner.attempt_ended(id, held.nth, Outcome.OK, 0)
 
     def reserve_room(self, day_s):
-        """Each second: the room for announced peaks, from this manager's own list."""
+        """Each second: reserves room for announced peaks, computed from this manager's own list."""
         if self.up and self.room_keeper is not None:
             servers = {
                 server_id: (server.row, server.link.capacity_kb)
@@ -116,7 +116,7 @@
             self.runner.peaks_reserved(*self.room_keeper.rooms(day_s, servers))
 
     def crash(self):
-        """Outright: all that it knew is gone; its boxes end what it held when their lease is over."""
+        """Crashes: all state is lost, and the boxes end the manager's sessions when their lease expires."""
         self.up = False
         self.incarnation += 1
         self.timer += 1
@@ -124,21 +124,21 @@
             self.play.manager_crashed(viewing)
         self.viewings = {}
         for job in self.takeover.jobs.values() if self.takeover is not None else ():
-            for key in job.claims_out:  # it may have been granted them, and never hears of it
+            for key in job.claims_out:  # the claim may be granted, and its answer finds no manager
                 self.play.begin_lease(job.box, key, self.name, self.incarnation - 1)
 
     def begin_planned_stop(self):
-        """A planned stop begins: others take over what plays, and nothing new is taken."""
+        """Begins a planned stop: other managers take over the sessions, and new requests are refused."""
         self.stopping = True
         if self.takeover is not None:
             self.takeover.leave()
 
     def stall(self, duration):
-        """Stands still for so long: whatever reaches it meanwhile waits, in order."""
+        """Stalls for `duration`; messages that arrive meanwhile wait, in order."""
         self.stalled_until = max(self.stalled_until, self.world.now + duration)
 
     def deferred_by_stall(self, callback, *args):
-        """Whether it stands still; then this waits until it goes on."""
+        """Whether the manager is stalled; if so, calls callback(*args) when the stall ends."""
         if self.world.now >= self.stalled_until:
             return False
         self.world.call_at(self.stalled_until, callback, *args)
@@ -153,10 +153,10 @@
         self.timer += 1
         self.world.call_at(at, self.timer_fires, self.timer)
 
-    def timer_fires(self, alarm):
-        if self.deferred_by_stall(self.timer_fires, alarm):
+    def timer_fires(self, timer):
+        if self.deferred_by_stall(self.timer_fires, timer):
             return
-        if self.up and alarm == self.timer:  # only the last that was asked for
+        if self.up and timer == self.timer:  # only the timer set last
             self.runner.tick()
 
     def start_attempt(self, id, nth, server, rung, left):
@@ -193,18 +193,18 @@
             self.play.faults.append(text)
 
     def recently_stalled(self):
-        """Whether it has just gone on: what it missed meanwhile is no fault of its decisions."""
+        """Whether a stall ended just now: deadlines missed during it are not faults of the decision module."""
         return self.world.now <= self.stalled_until + STALL_GRACE
 
     # From boxes
 
     def set_up_ended(self, incarnation, id, nth, outcome, took, figures):
-        """What came of a set-up; figures: a load report, or None."""
+        """Handles the outcome of a set-up. outcome: None on success; figures: a load report, or None."""
         if self.deferred_by_stall(self.set_up_ended, incarnation, id, nth, outcome, took, figures):
             return
         if not self.up or incarnation != self.incarnation:
             return
-        if outcome is None and id in self.moved_during_set_up:  # it is another's by now
+        if outcome is None and id in self.moved_during_set_up:  # another manager holds the session
             self.moved_during_set_up.discard(id)
             self.runner.attempt_ended(id, nth, Outcome.RESET, took)
         elif outcome is None:
@@ -232,7 +232,7 @@
                 self.claimed.pop(id)
                 nth = 0
             if self.runner.sessions[id].phase is Phase.PLAYS:
-                self.viewings.pop(id)  # else its tune-in failed, and the module may try another
+                self.viewings.pop(id)  # otherwise its tune-in failed, and the module may try another box
             self.runner.attempt_ended(id, nth, outcome, 0)
 
     def playback_note(self, incarnation, id, kind, amount):
@@ -242,7 +242,7 @@
             self.runner.playback_note(id, kind, amount)
 
     def session_over(self, incarnation, key):
-        """A box ended a session."""
+        """Handles a box's confirmation that a session has ended."""
         if self.up and incarnation == self.incarnation:
             self.ending.pop(key, None)
             if self.takeover is not None:
--- a/flaxscale/model/play.py
+++ b/flaxscale/model/play.py
@@ -1,9 +1,10 @@
-"""Plays a day in virtual time and counts what it was worth. The same file as `flaxscale day` plays on sockets.
+"""Simulates a day in virtual time and computes its worth, from the same file that `flaxscale day` runs on sockets.
 
-What the model leaves out: HTTP and SDP, time that a manager's own work takes, connections and their limits, the order
-in which packets of one instant arrive. Messages between managers and boxes take NET each way, and go by the same ways
-(lab/ways.py) as those of processes: on one that is cut they wait, in order, until it is healed; a late one brings them
-later, in order. A box that is stopped is one whose ways are all cut; what it streams goes on here, and stops there.
+Not modelled: HTTP and SDP, the processing time of a manager, connections and their limits, the order in which packets
+of one instant arrive. A message between a manager and a box takes NETWORK_DELAY. Messages use the same network paths
+("ways", lab/ways.py) as those of processes: on a cut path they wait, in order, until the path is restored; a delayed
+path delivers them later, in order. A stalled box is modelled as a box whose paths are all cut; unlike the process, the
+modelled box goes on streaming.
 """
 
 from collections import Counter, defaultdict
@@ -24,16 +25,17 @@
 from .manager import ModelManager
 from .world import World
 
-SECOND = 10_000
+SECOND = 10_000  # in ticks of the virtual clock
+# Times are tenths of a millisecond.
 NETWORK_DELAY = 5  # one way between a manager and a box
 CLIENT_DELAY = 10  # one way between a player and a manager
-PLANNED_STOP_LIMIT = 80_000  # a planned stop ends by then, as the lab's does
-LEAVE_BELOW_SHARE = 0.75  # a player whose viewing gets less than this leaves, now and then
-LEAVE_CHANCE = 0.1  # a second, below it
+PLANNED_STOP_LIMIT = 80_000  # a planned stop takes at most this long, as in the lab
+LEAVE_BELOW_SHARE = 0.75  # a player may leave a viewing that gets a smaller share of its rate
+LEAVE_CHANCE = 0.1  # probability per second of leaving below that share
 
 
 class NumberedRoomKeeper:
-    """A room keeper whose titles and packages are the numbers that the module knows them by."""
+    """Wraps a room keeper: titles and packages are given as the numbers that the decision module uses."""
 
     def __init__(self, keeper, titles, packages):
         self.keeper, self.titles, self.packages = keeper, titles, packages
@@ -51,23 +53,23 @@
 
 
 class FixedRoomKeeper(NumberedRoomKeeper):
-    """The baseline: the same part of every link for the announced titles, all day, and marks as ever."""
+    """The baseline: reserves a fixed share of every link for announced titles all day; titles are marked as usual."""
 
-    def __init__(self, keeper, part, titles, packages):
+    def __init__(self, keeper, share, titles, packages):
         super().__init__(keeper, titles, packages)
-        self.part = part
+        self.share = share
 
     def rooms(self, second, servers):
         peaks = self.keeper.peaks
         return (
-            {id: self.part * link for id, (_, link) in servers.items()},
+            {id: self.share * link for id, (_, link) in servers.items()},
             {self.titles[t]: 0 for p in peaks for t in p.titles},
             {self.packages[k]: 0 for p in peaks for k in p.packages},
         )
 
 
 class Player:
-    """One viewer and its tries."""
+    """A viewer with the attempts that remain."""
 
     __slots__ = "number", "request", "package", "tries_left", "dice", "viewing"
 
@@ -77,6 +79,8 @@
 
 
 class Viewing:
+    """One request of a player and, once answered, its playing session."""
+
     __slots__ = (
         "id",
         "player",
@@ -101,12 +105,15 @@
             requested_at,
         )
         self.ended = self.playing = self.started_late = False
-        self.asked_manager = manager, manager.incarnation  # whom its player asked, and tells that it goes
+        self.asked_manager = (
+            manager,
+            manager.incarnation,
+        )  # the manager that received the request and is notified when the player leaves
         self.server = self.nth = self.key = None
 
 
 class SecondRow:
-    """One second of a day."""
+    """Totals of one second of a day."""
 
     __slots__ = (
         "asked",
@@ -131,18 +138,19 @@
             Counter(),
             0,
         )
-        self.bound = None  # what no placement could have earned, where it was worked out
-        # kB a second by peak: kept by the manager that keeps most; free of others on its holders; what it needs.
+        self.bound = None  # upper bound of the worth that any placement earns, where computed
+        # kB a second by peak. kept: the largest reservation of any manager. free: link capacity of the holders that
+        # other titles leave unused. wanted: what the peak's viewings need.
         self.kept, self.free, self.wanted = {}, {}, {}
 
 
 class Play:
     def __init__(self, day, seed, tap=None, keep=True, bound_every=0, peaks=None):
-        """tap(now, event, actions) sees what goes into the modules and comes out.
+        """tap(now, event, actions): called with each input and output of the decision modules.
 
-        keep: room for announced peaks; False: none; a number: a fixed part of every link, all day.
-        peaks: announcements in place of the day's own, as with a planner's schedule.
-        bound_every: seconds between two at which the bound of an all-knowing placement is worked out; 0: never.
+        keep: whether room for announced peaks is reserved; a number: a fixed share of every link, all day.
+        peaks: announcements that replace those of the day, for example with a planner's schedule.
+        bound_every: interval in seconds at which the upper bound of an omniscient placement is computed; 0: never.
         """
         self.day, self.seed, self.tap, self.room_policy, self.bound_every = day, seed, tap, keep, bound_every
         self.peaks = tuple(day.peaks if peaks is None else peaks)
@@ -154,7 +162,7 @@
         self.package_numbers = sense.packages
         self.fleet = Fleet(self.world, day, site_of(day.site), sense, self.send)
         self.ways, self.held_messages, self.last_arrival, self.fault_count = Ways(), {}, {}, 0
-        self.outages = Counter()  # of troubles that keep a box or a manager down
+        self.outages = Counter()  # by process: number of active troubles that keep it down
         self.faults, self.seconds, self.viewing_count = [], defaultdict(SecondRow), 0
         self.title_numbers = {name: number for number, name in enumerate(sorted(day.site.titles))}
         self.rates, self.holders_by_title = rates_of(day.site), {}
@@ -167,11 +175,11 @@
         self.fleet.managers = self.managers
 
     def manager_named(self, name):
-        """The manager that ways, members and boxes call so."""
+        """The manager of this name; paths, members and boxes use names."""
         return self.managers[int(name[1:])]
 
     def new_room_keeper(self, since=None):
-        """The room keeper of one manager that begins now, or None where nothing is announced or nothing kept."""
+        """A room keeper for a manager that starts now, or None if nothing is announced or reserved."""
         day = self.day
         if not self.peaks or self.room_policy is False:
             return None
@@ -191,7 +199,7 @@
         return self.holders_by_title[title]
 
     def day_s(self):
-        """Seconds of the day, as announcements have them."""
+        """Seconds since the beginning of the day, the time scale of announcements."""
         return (self.world.now - self.began) / SECOND
 
     def current_second(self):
@@ -200,7 +208,7 @@
     # Players
 
     def send_request(self, player):
-        """Some manager, up or not: a player does not know."""
+        """Sends the request to a random manager, which may be down: a player does not know."""
         manager = self.managers[int(player.dice.draw() * len(self.managers))]
         row = self.current_second()
         row.requests += 1
@@ -221,7 +229,7 @@
         if manager.room_keeper is not None:
             manager.room_keeper.asked(request.title, title.view, len(self.managers))
         patience = round(request.patience * SECOND)
-        waited = self.world.now - requested_at - CLIENT_DELAY  # while its manager stood still
+        waited = self.world.now - requested_at - CLIENT_DELAY  # while its manager was stalled
         if waited >= patience:
             manager.viewings.pop(viewing.id)
             self.current_second().outcomes["manager stood"] += 1
@@ -235,7 +243,7 @@
         )
 
     def session_request_for(self, viewing, patience_left):
-        """What a module is told of a viewing. left: of its patience."""
+        """The event that describes a viewing to the decision module. patience_left: time until the player gives up."""
         player, request = viewing.player, viewing.player.request
         title, rungs = self.day.site.titles[request.title], len(self.day.site.ladder.kb) - 1
         return interface.SessionRequest(
@@ -266,7 +274,7 @@
             viewing.manager.runner.client_left(viewing.id)
 
     def patience_over(self, viewing):
-        """Its patience is over and no answer came: a rule is broken, unless its manager died."""
+        """The player's patience ran out without an answer: a rule violation unless the manager crashed or stalled."""
         if not viewing.ended and not viewing.playing:
             viewing.ended = True
             alive, stalled = (
@@ -280,14 +288,14 @@
                 self.retry_later(viewing.player)
 
     def manager_answered(self, manager, viewing, answer):
-        """The manager's answer; the player hears it a moment later."""
+        """Handles a manager's answer, which reaches the player CLIENT_DELAY later."""
         if answer.kind is AnswerKind.PLAYS:
             viewing.playing = True
             self.world.call_later(CLIENT_DELAY, self.playback_starts, viewing)
             return
         manager.viewings.pop(viewing.id, None)
         if answer.overdue and not manager.recently_stalled():
-            self.faults.append(f"viewing {viewing.id} was overdue")
+            self.faults.append(f"viewing {viewing.id}: answer after its deadline")
         if not viewing.ended:
             viewing.ended = True
             self.current_second().outcomes[answer.kind.value] += 1
@@ -301,13 +309,13 @@
         self.world.call_later(round(player.request.length * SECOND), self.playback_complete, viewing)
 
     def playback_complete(self, viewing):
-        """It was watched to its end."""
+        """Ends a viewing that was watched to its end."""
         if not viewing.ended and viewing.key in self.viewing_by_key:
             viewing.ended = True
             self.player_leaves(viewing)
 
     def player_leaves(self, viewing):
-        """Whom it asked hears that its player went; where that one has it no more, who has it now."""
+        """Notifies the manager that received the request; if it no longer holds the viewing, the current holder."""
         manager, incarnation = viewing.asked_manager
         if manager.up and incarnation == manager.incarnation and viewing.id in manager.viewings:
             if not manager.deferred_by_stall(self.player_leaves, viewing):
@@ -325,26 +333,26 @@
         if player.tries_left > 0 and player.dice.draw() < demand.returns:
             self.world.call_later(round(player.dice.between(demand.back_s) * SECOND), self.send_request, player)
 
-    # Ways
+    # Network paths
 
     def send(self, sender, receiver, delay, callback, *args):
-        """act(*args) once what a party sends now has reached another, `span` after that on a way without faults."""
+        """Calls callback(*args) when a message sent now is delivered: after `delay` on a path without faults."""
         state = self.ways.of((sender, receiver))
         if state is CLEAR and (sender, receiver) not in self.last_arrival:
             self.world.call_later(delay, callback, *args)
         elif not state.passes():
             self.held_messages.setdefault((sender, receiver), []).append((delay, callback, args))
-        else:  # in order, as on one connection
+        else:  # delivered in order, as on one connection
             delayed = delay + round(10 * (state.delay_ms + state.jitter_ms * self.world.dice("ways").draw()))
             at = self.last_arrival[sender, receiver] = max(
                 self.world.now + delayed, self.last_arrival.get((sender, receiver), 0)
             )
             self.world.call_at(at, callback, *args)
-            if state is CLEAR and at == self.world.now + delay:  # what was late has all come
+            if state is CLEAR and at == self.world.now + delay:  # all delayed messages have been delivered
                 del self.last_arrival[sender, receiver]
 
     def send_datagram(self, sender, receiver, delay, callback, *args):
-        """The same for what no connection makes good: it is gone where the way does not pass."""
+        """The same for a datagram, which is not retransmitted: it is lost on a cut path."""
         state, dice = self.ways.of((sender, receiver)), self.world.dice("datagrams")
         if state is CLEAR:
             self.world.call_later(delay, callback, *args)
@@ -357,7 +365,7 @@
             manager.takeover.message_arrives(message, sender)
 
     def apply_fault(self, fault, ways, span, pieces):
-        """A fault of ways for so long; pieces: [(after it, ways)] that heal then."""
+        """Applies a fault to paths for `span`. pieces: [(time after its end, paths restored then)]."""
         self.fault_count += 1
         self.ways.put(self.fault_count, fault, ways)
         for after, healed in pieces:
@@ -390,7 +398,7 @@
         )
 
     def probe(self, manager, incarnation, server):
-        """Answered beside the set-ups; a box that hangs, is gone or out of reach lets it run into its limit."""
+        """Probes a box, independently of set-ups; a box that hangs or can't be reached makes the probe time out."""
         model_box, ways = self.fleet.boxes[server], ((manager.name, f"b{server}"), (f"b{server}", manager.name))
         cut = not all(self.ways.of(way).passes() for way in ways)
         if model_box.dead or model_box.box.trouble.hang or cut:
@@ -416,7 +424,7 @@
             )
 
     def set_up_at_box(self, manager, incarnation, viewing, key, server, rung, sent_at, boot):
-        """boot: the box's start to which it was sent; a later one never hears of it, as its connection is gone."""
+        """Handles a set-up at its box. boot: the start of the box it was sent to; a restart breaks the connection."""
         model_box, now = self.fleet.boxes[server], self.world.now
 
         def answer(after, outcome, figures=None):
@@ -513,11 +521,11 @@
             )
 
     def set_up_outcome(self, manager, incarnation, id, nth, outcome, sent_at, figures):
-        """An outcome reaches its manager."""
+        """Delivers the outcome of a set-up to its manager."""
         manager.set_up_ended(incarnation, id, nth, outcome, self.world.now - sent_at, figures)
 
     def send_end_order(self, server, key, manager, epoch):
-        """An order of a manager that holds the session under this epoch."""
+        """Sends the order to end a session, from a manager that holds it under this epoch."""
         self.send(
             manager.name,
             f"b{server}",
@@ -537,7 +545,7 @@
         if model_box.box.trouble.hang:
             self.world.call_later(SECOND, self.end_order_arrives, server, key, manager, incarnation, epoch)
             return
-        if not model_box.box.fence.obeys(key, epoch, manager.name):  # it is another's by now
+        if not model_box.box.fence.obeys(key, epoch, manager.name):  # another manager holds the session
             if key in self.viewing_by_key and self.viewing_by_key[key].ended:
                 self.begin_media_timeout(model_box, key)
             self.send(f"b{server}", manager.name, NETWORK_DELAY, manager.session_moved, incarnation, key[2])
@@ -545,7 +553,7 @@
         self.end_session(model_box, key, manager, incarnation)
 
     def end_session(self, model_box, key, manager=None, incarnation=0):
-        """A session ends there. Who ended it hears so."""
+        """Ends a session at its box and notifies the manager that ordered it, if any."""
         viewing = self.viewing_by_key.pop(key, None)
         if model_box.box.end(key, self.world.now) is not None:
             model_box.update_load()
@@ -555,18 +563,18 @@
             self.send(f"b{model_box.place.id}", manager.name, NETWORK_DELAY, manager.session_over, incarnation, key)
 
     def notify_moved(self, model_box, key, name, incarnation):
-        """Who held a session hears that it is another's, if it still listens."""
+        """Notifies the previous holder of a session that another manager holds it."""
         previous = self.manager_named(name)
         self.send(f"b{model_box.place.id}", name, NETWORK_DELAY, previous.session_moved, incarnation, key[2])
 
     def viewing_without_player(self, viewing, key):
-        """What stands in for a session that was taken over before its own player was answered."""
+        """A replacement viewing for a session that was taken over before its player received an answer."""
         other = self.viewing_by_key[key] = Viewing(viewing.id, viewing.player, viewing.manager, viewing.requested_at)
         other.server, other.nth, other.key, other.ended = viewing.server, viewing.nth, key, True
         return other
 
     def begin_media_timeout(self, model_box, key):
-        """A session that was taken over and that nobody watches: it ends a while after its media last flowed."""
+        """Starts the media timeout of a session that was taken over and that nobody watches."""
         self.world.call_later(
             round(self.day.site.fleet.media_ms * 10), self.media_timeout, model_box, model_box.boot, key
         )
@@ -601,7 +609,7 @@
         self.world.call_later(lease, self.lease_expires, model_box, model_box.boot, key, name, incarnation)
 
     def lease_expires(self, model_box, boot, key, name, incarnation):
-        """What a manager that died left, and nobody claimed."""
+        """Ends a session whose manager crashed and that no other manager claimed within the lease."""
         session, viewing = model_box.box.sessions.get(key), self.viewing_by_key.get(key)
         if (
             model_box.dead
@@ -652,7 +660,7 @@
             manager.runner.peer_load_changed(peer, server, kb)
 
     def crash_box(self, model_box):
-        """A box's process is gone: its viewings break, their managers and players notice."""
+        """Crashes a box: its viewings break, and their managers and players are notified."""
         sessions = dict(model_box.box.sessions)
         model_box.dead = True
         model_box.box.sessions = {}
@@ -671,14 +679,14 @@
                 self.retry_later(viewing.player)
 
     def manager_crashed(self, viewing):
-        """Its manager died; its box ends it after the lease, unless it is claimed, and then the player comes again."""
+        """The viewing's manager crashed: unless claimed, the session ends with its lease and the player retries."""
         if not self.day.members and viewing.playing and not viewing.ended:
             viewing.ended = True
             self.retry_later(viewing.player)
         if viewing.key is not None:
             self.begin_lease(viewing.server, viewing.key, viewing.manager.name, viewing.incarnation)
 
-    # What boxes tell, and what it is all worth
+    # Load reports of boxes, and the worth of each second
 
     def one_session_per_manager(self, model_box):
         key_by_manager = {}
@@ -717,7 +725,7 @@
             self.world.call_later(delay, self.send_notes, model_box, model_box.boot, key, notes)
 
     def score(self):
-        """Each second: worth earned and asked, shares told, players who leave a viewing that starves."""
+        """Each second: adds up worth earned and asked, reports delivered shares, lets dissatisfied players leave."""
         now, row, site = self.world.now, self.current_second(), self.day.site
         worth, stall, dice = site.ladder.worth, site.ladder.stall, self.world.dice("leave")
         delay = round(site.fleet.note_lag_ms * 10)
@@ -748,17 +756,17 @@
                 self.short_boxes.add(model_box)
             else:
                 self.short_boxes.discard(model_box)
-        for p in self.watchers:
-            package = self.packages[p.package]
-            top = min(package.top, len(worth) - 1, len(worth) - 1 if p.request.top is None else p.request.top)
-            row.asked[p.package] += package.value * worth[max(top, package.floor)]
-        for p in self.peaks:
-            self.record_peak_room(p, row, now)
+        for player in self.watchers:
+            package = self.packages[player.package]
+            top = min(package.top, len(worth) - 1, len(worth) - 1 if player.request.top is None else player.request.top)
+            row.asked[player.package] += package.value * worth[max(top, package.floor)]
+        for peak in self.peaks:
+            self.record_peak_room(peak, row, now)
         if self.bound_every and (now - self.began) // SECOND % self.bound_every == 0:
             row.bound = bound_of_play(self)
 
     def record_peak_room(self, peak, row, now):
-        """What the peak's viewings need now, and what others leave free of its holders' links."""
+        """Records what the peak's viewings need now, and what other titles leave free of its holders' links."""
         second, site = self.day_s(), self.day.site
         if not peak.start_s - peak.lead_s - 5 <= second < peak.end_s + 5:
             return
@@ -788,7 +796,7 @@
     def session_kb(self, session):
         return self.day.site.ladder.kb[session.rung] * self.day.site.packages[session.package].scale
 
-    # Troubles, as a day's file names them
+    # Troubles, by the names of the day's file
 
     def apply_trouble(self, number, row):
         boxes = self.trouble_targets(
@@ -842,14 +850,14 @@
             for name in [SERVICE] if row.what == "catalogue_stall" else [f"b{b}" for b in boxes]:
                 ways = [way for o in others for way in ((o, name), (name, o))]
                 self.apply_fault(Fault("cut"), ways, span, [(0.0, ways)])
-        elif row.what == "catalogue_crash":  # what it tells of titles is told once here, and managers keep it
+        elif row.what == "catalogue_crash":  # here it sends titles only once, and managers keep them
             if self.catalogue_service is not None:
                 self.outages[SERVICE] += 1
                 if self.catalogue_service.up:
                     self.catalogue_service.crash()
                 self.world.call_later(span, self.restart_service)
         elif row.what == "crowd":
-            pass  # it is in the arrivals
+            pass  # contained in the arrivals
         else:
             for b in boxes:
                 self.set_trouble(fleet.boxes[b], row.what, row.value)
@@ -869,7 +877,7 @@
     def restart_box(self, model_box):
         self.outages["b", model_box.place.id] -= 1
         if self.outages["b", model_box.place.id]:
-            return  # an outage inside an outage: back when the last one is over
+            return  # outages overlap: restart when the last one is over
         model_box.start(self.world.now)
         self.fleet.update_list(model_box)
 
@@ -888,7 +896,7 @@
         )
 
     def finish_planned_stop(self, manager, incarnation, until, span):
-        """A planned stop is over once all that played is another's; then it is away for so long."""
+        """Completes a planned stop once no viewing is left, or at `until`; the manager restarts `span` later."""
         if manager.incarnation == incarnation:
             if manager.viewings and self.day.members and self.world.now < until:
                 self.world.call_later(SECOND // 10, self.finish_planned_stop, manager, incarnation, until, span)
@@ -907,7 +915,7 @@
     # The day
 
     def run(self):
-        """Plays it all; returns self."""
+        """Simulates the whole day; returns self."""
         world, day = self.world, self.day
         settle = round(day.settle_s * SECOND)
         self.watchers, self.short_boxes = {}, set()
@@ -943,7 +951,7 @@
         self.world.call_every(every, self.report_load, model_box)
 
     def viewer_arrives(self, number, request):
-        """A viewer wants to watch from now for its length, served or not."""
+        """A viewer arrives, who wants to watch for the requested length from now, served or not."""
         row = self.day.site.titles[request.title]
         player = Player(
             number, request, self.package_numbers[row.view], self.day.demand.tries, self.world.dice(f"player-{number}")
@@ -952,10 +960,10 @@
         self.world.call_later(round(request.length * SECOND), self.watchers.pop, player, None)
         self.send_request(player)
 
-    # What it came to
+    # Results
 
     def service(self, since=0, until=1 << 40):
-        """Worth earned over worth asked, of all packages, in a span of seconds."""
+        """Worth earned divided by worth asked, over all packages, for seconds in [since, until)."""
         asked = earned = 0.0
         for second, row in self.seconds.items():
             if since <= second < until:
--- a/flaxscale/model/world.py
+++ b/flaxscale/model/world.py
@@ -1,4 +1,4 @@
-"""Virtual time: one heap of things to do, and one door of chance. The same seed gives the same course, always."""
+"""Discrete-event scheduler in virtual time, with all random draws from one seed: the same seed gives the same run."""
 
 import heapq
 
@@ -6,7 +6,7 @@
 
 
 class World:
-    """The clock is whole tenths of a millisecond; what is due at one time is done in the order it was asked for."""
+    """The clock counts tenths of a millisecond; events due at one time run in the order of their scheduling."""
 
     def __init__(self, seed):
         self.now, self.sequence, self.queue, self.seed, self.dice_by_stream, self.events_run = (
