--- a/flaxscale/cli/model.py
+++ b/flaxscale/cli/model.py
@@ -15,7 +15,7 @@
     """Play days in virtual time, at sizes that sockets don't reach. All figures are those of simulated fleets."""
 
 
-def given_of(pairs):
+def parse_variables(pairs):
     out = {}
     for pair in pairs:
         name, _, value = pair.partition("=")
@@ -38,7 +38,7 @@
     """Play a day of FILE once."""
     from ..model.play import Play
 
-    day = site_errors(lambda: read_day(file, sockets=False, **given_of(pairs)))
+    day = site_errors(lambda: read_day(file, sockets=False, **parse_variables(pairs)))
     began = time.perf_counter()
     play = Play(day, seed).run()
     took = time.perf_counter() - began
@@ -73,7 +73,7 @@
     """Play FILE with many seeds: each figure's mean and 95% interval."""
     from ..model import experiment
 
-    given = given_of(pairs)
+    given = parse_variables(pairs)
     site_errors(lambda: read_day(file, sockets=False, **given))
     totals = experiment.sweep(file, range(1, seeds + 1), processes, **given)
     for name in experiment.figures(totals[1]):
@@ -96,7 +96,7 @@
 
     totals = []
     for file, own in ((one, set_one), (other, set_other)):
-        given = {**given_of(pairs), **given_of(own)}
+        given = {**parse_variables(pairs), **parse_variables(own)}
         site_errors(lambda file=file, given=given: read_day(file, sockets=False, **given))
         totals.append(experiment.sweep(file, range(1, seeds + 1), processes, **given))
     for name, value in experiment.compare(*totals).items():
--- a/flaxscale/cli/peaks.py
+++ b/flaxscale/cli/peaks.py
@@ -30,9 +30,9 @@
     from ..model import rehearse as work
     from ..model.play import Play
     from ..site.load import SiteError
-    from .model import given_of
+    from .model import parse_variables
 
-    given = given_of(pairs)
+    given = parse_variables(pairs)
     if odd := [w for w in ways if w not in work.WAYS]:
         raise click.UsageError(f"--way {odd[0]}: one of {', '.join(work.WAYS)} expected")
 
--- a/flaxscale/model/loss.py
+++ b/flaxscale/model/loss.py
@@ -61,7 +61,7 @@
         self.swims.run(round(span_s * 10_000))
         known = {
             pair: at
-            for pair, at in self.swims.heard_of.items()
+            for pair, at in self.swims.detected_at.items()
             if pair[0] in self.living and pair[1] in self.dead and at >= self.began
         }
         self.known, until = known, self.began + round(span_s * 10_000)
--- a/flaxscale/model/members.py
+++ b/flaxscale/model/members.py
@@ -10,7 +10,7 @@
     def __init__(self, count, loss=0.0, seed=1, delay=(5, 60)):
         self.draw, self.loss, self.delay, self.now, self.seq, self.todo = random.Random(seed), loss, delay, 0, 0, []
         self.names, self.swims, self.up, self.stalled, self.cut = [f"m{n}" for n in range(count)], {}, {}, {}, set()
-        self.changes, self.boots, self.false_deaths, self.sent, self.heard_of = [], {}, 0, 0, {}
+        self.changes, self.boots, self.false_deaths, self.sent, self.detected_at = [], {}, 0, 0, {}
         for name in self.names:
             self.start(name)
 
@@ -71,7 +71,7 @@
         for news in self.swims[name].taken_changes():
             self.changes.append((name, news))
             if news.state is State.DEAD:
-                self.heard_of.setdefault((name, news.name), self.now)
+                self.detected_at.setdefault((name, news.name), self.now)
                 if self.up[news.name] and not self.stands(news.name) and news.boot == self.swims[news.name].me.boot:
                     self.false_deaths += 1
 
@@ -99,5 +99,5 @@
     gone = world.names[count // 2]
     world.crash(gone)
     world.run(periods * PERIOD)
-    times = [t - at for (who, of), t in world.heard_of.items() if of == gone and t >= at and who != gone]
+    times = [t - at for (who, of), t in world.detected_at.items() if of == gone and t >= at and who != gone]
     return min(times) / PERIOD, max(times) / PERIOD, false, len(times)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -128,7 +128,7 @@
             for name in world.names[:dead]:
                 world.crash(name)
             world.run(12 * PERIOD)
-            known = [at - began for (who, of), at in world.heard_of.items() if world.up[who]]
+            known = [at - began for (who, of), at in world.detected_at.items() if world.up[who]]
             self.assertEqual(dead * (10 - dead), len(known))
             self.assertEqual(0, world.false_deaths)
         world = SwimWorld(3, 0.0, 1)
@@ -137,7 +137,7 @@
         world.run(20 * PERIOD)
         world.crash("m0")
         world.run(6 * PERIOD)
-        self.assertLessEqual({("m1", "m0"), ("m2", "m0")}, set(world.heard_of))
+        self.assertLessEqual({("m1", "m0"), ("m2", "m0")}, set(world.detected_at))
 
     def test_a_hundred_members_that_lose_a_third_of_what_they_send_take_each_other_for_living(self):
         # What refutes a suspicion stood behind the suspicions in every message, and of 100 members each hears another
