--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -140,7 +140,7 @@
             for name in world.names[:dead]:
                 world.crash(name)
             world.run(12 * PERIOD)
-            known = [at - began for (who, of), at in world.heard_of.items() if world.up[who]]
+            known = [at - began for (who, of), at in world.detected_at.items() if world.up[who]]
             self.assertEqual(dead * (10 - dead), len(known))
             self.assertEqual(0, world.false_deaths)
         world = SwimWorld(3, 0.0, 1)
@@ -149,7 +149,7 @@
         world.run(20 * PERIOD)
         world.crash("m0")
         world.run(6 * PERIOD)
-        self.assertLessEqual({("m1", "m0"), ("m2", "m0")}, set(world.heard_of))
+        self.assertLessEqual({("m1", "m0"), ("m2", "m0")}, set(world.detected_at))
 
     def test_a_hundred_members_at_30_percent_loss_declare_few_of_each_other_dead(self):
         # Refutations ranked behind the suspicions in every message, and each of 100 members hears another directly only
