--- a/flaxscale/cli/standins.py
+++ b/flaxscale/cli/standins.py
@@ -9,7 +9,7 @@
 from ..lab.records import Recorder
 from ..serve.clock import now
 from ..site.terms import read_site
-from ..standins.box import Box, Place, site_of
+from ..standins.box import Box, Place, site_settings
 from ..standins.boxlist import BoxList
 from ..standins.boxserver import BoxServer
 from ..store.files import Files
@@ -37,7 +37,7 @@
     lease_files=None,
 ):
     place = Place(id, cell, cell % site.fleet.racks, zone, kind, weight, link_kb, site.fleet.kinds[kind])
-    box = Box(place, site_of(site), secrets.token_hex(4), now() - round(up_ms * 10), seed, round(work_ms * 10))
+    box = Box(place, site_settings(site), secrets.token_hex(4), now() - round(up_ms * 10), seed, round(work_ms * 10))
     lease = lease_ms if lease_ms is not None else site.fleet.lease_ms
     fleet = site.fleet
     row = [round(ms * 10) for ms in (fleet.note_every_ms, fleet.note_lag_ms, lease, fleet.media_ms)]
--- a/flaxscale/model/bound.py
+++ b/flaxscale/model/bound.py
@@ -121,7 +121,7 @@
             )
         )
     rooms = {
-        id: Room(h.box.link_now(now), h.place.rack, h.place.slots)
+        id: Room(h.box.link_capacity_kb(now), h.place.rack, h.place.slots)
         for id, h in fleet.boxes.items()
         if not h.dead and not h.box.trouble.hang
     }
--- a/flaxscale/model/fleet.py
+++ b/flaxscale/model/fleet.py
@@ -29,20 +29,20 @@
         """Something that it asks of its link has changed."""
         if self.cached is not None:
             self.fleet.racks[self.place.rack] -= self.cached
-        self.cached = 0.0 if self.dead else self.box.asked()
+        self.cached = 0.0 if self.dead else self.box.demand_kb()
         self.fleet.racks[self.place.rack] += self.cached
 
     def see_rack(self):
-        self.box.rack_others = max(0.0, self.fleet.racks[self.place.rack] - self.cached)
+        self.box.other_rack_kb = max(0.0, self.fleet.racks[self.place.rack] - self.cached)
         self.box.uplink_kb = self.fleet.uplinks[self.place.rack]
 
     def delivered(self, now):
         self.see_rack()
-        return 0.0 if self.dead else self.box.delivered(now)
+        return 0.0 if self.dead else self.box.delivered_share(now)
 
     def figures(self, now):
         self.see_rack()
-        return self.box.figures(now)
+        return self.box.load_figures(now)
 
 
 class Fleet:
--- a/flaxscale/model/judge.py
+++ b/flaxscale/model/judge.py
@@ -64,7 +64,7 @@
         """Pushed over while cold. It is the managers' doing where over two thirds came from those who knew of the start
         (the operators' page on the fleet's test); nobody can keep a pace for a start that no list has told yet.
         """
-        if holder.box.fallen:
+        if holder.box.crashed:
             fall = round(self.play.day.site.rules.fall_ms * 10)
             known = [told for at, told in self.arrivals[holder.place.id] if at > self.play.world.now - fall]
             if 3 * sum(known) > 2 * len(known):
--- a/flaxscale/model/play.py
+++ b/flaxscale/model/play.py
@@ -17,7 +17,7 @@
 from ..peaks.keeper import RoomKeeper, Surroundings, rates_of
 from ..run import AnswerKind
 from ..site.terms import Sense
-from ..standins.box import site_of
+from ..standins.box import site_settings
 from .bound import of_play
 from .duties import SERVICE, Service
 from .fleet import Fleet
@@ -127,7 +127,7 @@
         self.packages = list(day.site.packages.values())
         self.names = list(day.site.packages)
         self.numbers = sense.packages
-        self.fleet = Fleet(self.world, day, site_of(day.site), sense, self.send)
+        self.fleet = Fleet(self.world, day, site_settings(day.site), sense, self.send)
         self.ways, self.waiting, self.late_on, self.way_faults = Ways(), {}, {}, 0
         self.down = Counter()  # of troubles that keep a box or a manager down
         self.faults, self.seconds, self.ids = [], defaultdict(Row), 0
@@ -652,7 +652,7 @@
                     for session in holder.box.sessions.values()
                     if session.title not in titles and session.package not in p.packages
                 )
-                free += max(0.0, holder.box.link_now(now) - others)
+                free += max(0.0, holder.box.link_capacity_kb(now) - others)
         row.free[p.name] = free
 
     def kb(self, session):
--- a/flaxscale/model/takeover.py
+++ b/flaxscale/model/takeover.py
@@ -191,7 +191,7 @@
                         s.manager,
                         holder.box.fence.epoch(key),
                         s.rung,
-                        now - s.began,
+                        now - s.started_at,
                         vw.playing and not vw.gone,
                         vw,
                     )
--- a/flaxscale/standins/box.py
+++ b/flaxscale/standins/box.py
@@ -11,7 +11,7 @@
 from ..chance import uniform_from_bytes
 from ..members.adopt import Fence
 
-KEEP_ENDED = 600_000  # a name that was ended before it came is refused this long
+ENDED_KEY_TTL = 600_000  # a name that was ended before it came is refused this long
 
 
 class Place(NamedTuple):
@@ -27,7 +27,7 @@
     slots: int
 
 
-class Site(NamedTuple):
+class SiteSettings(NamedTuple):
     """What boxes know of the site: rates, rules and packages by name."""
 
     kb: tuple
@@ -44,10 +44,10 @@
     reports: str = "answers"  # "probe": load is told to probes only
 
 
-def site_of(site):
+def site_settings(site):
     """What boxes know of a checked site file."""
     rules = site.rules
-    return Site(
+    return SiteSettings(
         tuple(site.ladder.kb),
         {n: (p.scale, p.live, p.floor) for n, p in site.packages.items()},
         {n: (t.first_cell, t.cells, t.view, t.push) for n, t in site.titles.items()},
@@ -70,32 +70,32 @@
         "package",
         "manager",
         "rung",
-        "began",
+        "started_at",
         "ufrag",
         "etag",
         "name",
         "sends",
         "cookie",
-        "media",
+        "media_requested",
         "life",
-        "mark",
-        "print",
+        "digest",
+        "offer_digest",
         "reply",
-        "flowed",
+        "last_media_at",
     )
 
-    def __init__(self, key, title, package, manager, rung, began, sends):
+    def __init__(self, key, title, package, manager, rung, started_at, sends):
         self.key, self.title, self.package, self.manager = key, title, package, manager
-        self.rung, self.began, self.sends = rung, began, sends
+        self.rung, self.started_at, self.sends = rung, started_at, sends
         self.ufrag = self.etag = self.name = None
-        self.cookie, self.media = "", False  # put down by its manager; whether its media were ever asked for
-        self.mark = self.print = ""  # of its client's key and offer
+        self.cookie, self.media_requested = "", False  # put down by its manager; whether its media were ever asked for
+        self.digest = self.offer_digest = ""  # of its client's key and offer
         self.reply = None  # (etag, body) of its answer, once it is worked out
         self.life = ""  # of its manager, which is another one after a restart
-        self.flowed = began  # when its media last flowed to somebody
+        self.last_media_at = started_at  # when its media last flowed to somebody
 
 
-class Verdict(NamedTuple):
+class SetupResult(NamedTuple):
     """What becomes of a set-up: a status, why, whether it ran, and after how long the answer goes."""
 
     status: int
@@ -126,37 +126,37 @@
 
 
 class Box:
-    def __init__(self, place, site, boot, started_at, seed, work=150):
+    def __init__(self, place, site, boot, started_at, seed, setup_time=150):
         """work: what a set-up takes here, in tenths of a millisecond, at no trouble."""
-        self.place, self.site, self.boot, self.started_at, self.seed, self.work = (
+        self.place, self.site, self.boot, self.started_at, self.seed, self.setup_time = (
             place,
             site,
             boot,
             started_at,
             seed,
-            work,
+            setup_time,
         )
-        self.sessions, self.ended, self.trouble, self.draws = {}, {}, Trouble(), 0
-        self.arrivals, self.fallen = deque(), False
+        self.sessions, self.ended_keys, self.trouble, self.draw_count = {}, {}, Trouble(), 0
+        self.arrivals, self.crashed = deque(), False
         self.fence = Fence()
-        self.live = None  # with a catalogue: {title: (view, push, state, low, top)} of its own
-        self.rack_others = 0.0  # kB a second that the rest of the rack asks, as last told
+        self.catalogue_rows = None  # with a catalogue: {title: (view, push, state, low, top)} of its own
+        self.other_rack_kb = 0.0  # kB a second that the rest of the rack asks, as last told
         self.uplink_kb = site.uplink_kb
 
     def chance(self):
-        self.draws += 1
-        return uniform_from_bytes(b"%d:%d:%d" % (self.seed, self.place.id, self.draws))
+        self.draw_count += 1
+        return uniform_from_bytes(b"%d:%d:%d" % (self.seed, self.place.id, self.draw_count))
 
     # Warmth and the pace
 
-    def warmed(self, now):
-        """The share of its pace and of its link that it has warmed to."""
+    def warmup_share(self, now):
+        """The share of its pace and of its link that it has warmup_share to."""
         start, age = self.site.start_capacity, now - self.started_at
         if age >= self.site.warm_within:
             return 1.0
         return start + (1 - start) * age / self.site.warm_within
 
-    def pushed(self, now):
+    def arrival_overloads(self, now):
         """Counts a set-up that arrives; True where it pushes the box over.
 
         Over the pace means more arrivals within fall_ms than the multiple allows there, counted whole: one more
@@ -167,13 +167,13 @@
             self.arrivals.popleft()
         if now - self.started_at >= self.site.warm_within:
             return False
-        pace = self.place.slots / self.site.warm_within * self.warmed(now)
+        pace = self.place.slots / self.site.warm_within * self.warmup_share(now)
         allowed = self.site.tip_multiple * pace * self.site.fall
         return len(self.arrivals) > int(allowed) + 1
 
     # Rates
 
-    def asked(self):
+    def demand_kb(self):
         """kB a second that its sessions ask: viewers of one live title and rung share a stream in part."""
         streams, total = {}, 0.0
         for s in self.sessions.values():
@@ -185,92 +185,94 @@
             total += kb
         return total
 
-    def link_now(self, now):
+    def link_capacity_kb(self, now):
         t = self.trouble
-        return max(1.0, self.place.link_kb * self.warmed(now) * t.link * (1 - t.neighbour))
+        return max(1.0, self.place.link_kb * self.warmup_share(now) * t.link * (1 - t.neighbour))
 
-    def uses(self, now):
+    def utilizations(self, now):
         """(what is asked of the link over what it gives, the same of the uplink)."""
-        own = self.asked()
-        return own / self.link_now(now), (own + self.rack_others) / max(1.0, self.uplink_kb)
+        own = self.demand_kb()
+        return own / self.link_capacity_kb(now), (own + self.other_rack_kb) / max(1.0, self.uplink_kb)
 
-    def delivered(self, now):
+    def delivered_share(self, now):
         """The share of their rates that its viewings get: the same for all of them."""
-        if self.trouble.hang or self.fallen:
+        if self.trouble.hang or self.crashed:
             return 0.0
-        return min(1.0, *(1 / use if use > 1 else 1.0 for use in self.uses(now)))
+        return min(1.0, *(1 / use if use > 1 else 1.0 for use in self.utilizations(now)))
 
-    def figures(self, now):
-        link, uplink = self.uses(now)
+    def load_figures(self, now):
+        link, uplink = self.utilizations(now)
         return {"x0": link * self.trouble.lie, "x1": uplink * self.trouble.lie, "inflight": len(self.sessions)}
 
     # Set-ups
 
-    def package(self, title, sends):
+    def package_of(self, title, sends):
         """The package that a set-up of this title would be in here; None where it does not hold it now."""
-        if self.live is not None:
-            row = self.live.get(title)
+        if self.catalogue_rows is not None:
+            row = self.catalogue_rows.get(title)
             return row[1 if sends else 0] if row is not None and row[2] == "holding" else None
         row = self.site.titles.get(title)
         if row is None or (self.place.cell - row[0]) % self.site.cells >= row[1]:
             return None
         return row[3] if sends else row[2]
 
-    def rungs_of(self, title):
-        if self.live is not None and title in self.live:
-            return self.live[title][3:5]
+    def rung_range(self, title):
+        if self.catalogue_rows is not None and title in self.catalogue_rows:
+            return self.catalogue_rows[title][3:5]
         return 0, len(self.site.kb) - 1
 
-    def catalogued(self, titles, drop_others=False):
+    def apply_catalogue(self, titles, drop_others=False):
         """What its catalogue says now; {title: row or None}. Returns the sessions whose rung is withdrawn."""
-        if self.live is None or drop_others:
-            self.live = {}
-        self.live.update(titles)
-        self.live = {title: row for title, row in self.live.items() if row is not None}
+        if self.catalogue_rows is None or drop_others:
+            self.catalogue_rows = {}
+        self.catalogue_rows.update(titles)
+        self.catalogue_rows = {title: row for title, row in self.catalogue_rows.items() if row is not None}
         out = []
         for session in self.sessions.values():
-            low, top = self.rungs_of(session.title)
+            low, top = self.rung_range(session.title)
             if not low <= session.rung <= top:
                 session.rung = min(max(session.rung, low), top)
                 out.append(session)
         return out
 
     def set_up(self, key, title, sends, manager, rung, now):
-        """(Verdict, Session or None). None of the answers below 400 is given without a session behind it."""
+        """(SetupResult, Session or None). None of the answers below 400 is given without a session behind it."""
         t = self.trouble
-        self.ended = (
-            {k: at for k, at in self.ended.items() if at > now - KEEP_ENDED} if len(self.ended) > 5000 else self.ended
+        self.ended_keys = (
+            {k: at for k, at in self.ended_keys.items() if at > now - ENDED_KEY_TTL}
+            if len(self.ended_keys) > 5000
+            else self.ended_keys
         )
-        if self.fallen or self.pushed(now):
-            self.fallen = True
-            return Verdict(0, "fallen over", False, 0), None
-        if key in self.ended:
-            return Verdict(410, "ended before it came", False, 0), None
+        if self.crashed or self.arrival_overloads(now):
+            self.crashed = True
+            return SetupResult(0, "fallen over", False, 0), None
+        if key in self.ended_keys:
+            return SetupResult(410, "ended before it came", False, 0), None
         if key in self.sessions:
-            return Verdict(201, "set up before", True, 0), self.sessions[key]
-        package = self.package(title, sends)
+            return SetupResult(201, "set up before", True, 0), self.sessions[key]
+        package = self.package_of(title, sends)
         if package is None:
-            return Verdict(404, "no such title here", False, 0), None
-        low, top = self.rungs_of(title)
+            return SetupResult(404, "no such title here", False, 0), None
+        low, top = self.rung_range(title)
         if not 0 <= rung < len(self.site.kb):
-            return Verdict(422, "no such rung", False, 0), None
+            return SetupResult(422, "no such rung", False, 0), None
         rung = min(max(rung, low), top)  # its manager may not know yet that a rendition was withdrawn
         if t.fast_errors and self.chance() < t.fast_errors:
-            return Verdict(500, "failed", True, 5), None
+            return SetupResult(500, "failed", True, 5), None
         if t.drain:
-            return Verdict(503, "draining", False, 0), None
+            return SetupResult(503, "draining", False, 0), None
         if len(self.sessions) >= self.place.slots:
-            return Verdict(503, "all places are taken", False, 0), None
-        if self.site.guard and self.uses(now)[0] >= self.site.guard:
-            return Verdict(503, "the link is full", False, 0), None
+            return SetupResult(503, "all places are taken", False, 0), None
+        if self.site.guard and self.utilizations(now)[0] >= self.site.guard:
+            return SetupResult(503, "the link is full", False, 0), None
         session = self.sessions[key] = Session(key, title, package, manager, rung, now, sends)
         self.fence.begin(key, manager)
-        took = self.work * (0.8 + 0.4 * self.chance()) * t.slow / self.warmed(now)
-        return Verdict(201, "", True, round(took)), session
+        took = self.setup_time * (0.8 + 0.4 * self.chance()) * t.slow / self.warmup_share(now)
+        return SetupResult(201, "", True, round(took)), session
 
     def end(self, key, now):
         """Ends a session or a set-up by its name; one that has not come yet will be refused when it does."""
-        self.ended[key] = now
+        self.ended_keys[key] = now
         self.fence.over(key)
         return self.sessions.pop(key, None)
 
@@ -286,6 +288,6 @@
         session = self.sessions.get(key)
         if session is None or not 0 <= rung < len(self.site.kb):
             return None
-        low, top = self.rungs_of(session.title)
+        low, top = self.rung_range(session.title)
         session.rung = min(max(rung, low), top)
         return session.rung
--- a/flaxscale/standins/boxlist.py
+++ b/flaxscale/standins/boxlist.py
@@ -12,16 +12,16 @@
 from ..serve.clock import now
 from ..serve.server import Server
 
-SILENT = 6_000  # a box that was silent so long is gone
+HEARTBEAT_TIMEOUT = 6_000  # a box that was silent so long is gone
 
 
 class BoxList:
-    def __init__(self, uplinks, record=None, late=0):
+    def __init__(self, uplinks, record=None, change_delay=0):
         """uplinks: kB a second by rack, or one figure for all. late: tenths until a change is told."""
-        self.uplinks, self.record, self.late = uplinks, record or Recorder(), late
-        self.rows, self.heard, self.asks, self.version = {}, {}, {}, 0
+        self.uplinks, self.record, self.change_delay = uplinks, record or Recorder(), change_delay
+        self.rows, self.heartbeat_at, self.demands, self.version = {}, {}, {}, 0
         self.history, self.streams, self.timer, self.loop, self.frozen = [], {}, None, None, False
-        self.by_asker = {}  # manager: {box: address}, where each reaches boxes by its own way
+        self.addresses_by_manager = {}  # manager: {box: address}, where each reaches boxes by its own way
         self.server = Server(self.handle)
         self.address, self.udp = None, None
 
@@ -30,40 +30,42 @@
         for tries in range(20):  # one number for both protocols: a free one for TCP may be taken for UDP
             self.address = await self.server.listen(host, port)
             try:
-                self.udp, _ = await self.loop.create_datagram_endpoint(lambda: Beats(self), local_addr=self.address)
+                self.udp, _ = await self.loop.create_datagram_endpoint(
+                    lambda: HeartbeatProtocol(self), local_addr=self.address
+                )
                 break
             except OSError:
                 if port or tries == 19:
                     raise
                 await self.server.stop()
                 self.server.stopping = False
-        self.check()
+        self.expire_silent_boxes()
         return self.address
 
-    def uplink(self, rack):
+    def uplink_kb(self, rack):
         return self.uplinks.get(rack, 1e9) if isinstance(self.uplinks, dict) else self.uplinks
 
-    def beat(self, row):
+    def handle_heartbeat(self, row):
         id = row["id"]
-        self.heard[id] = now()
-        self.asks[id] = row["rack"], row["kb"]
-        others = sum(kb for o, (rack, kb) in self.asks.items() if rack == row["rack"] and o != id)
+        self.heartbeat_at[id] = now()
+        self.demands[id] = row["rack"], row["kb"]
+        others = sum(kb for o, (rack, kb) in self.demands.items() if rack == row["rack"] and o != id)
         old = self.rows.get(id)
         if old is None or any(old[k] != row[k] for k in ("boot", "state", "address", "weight", "cell")):
-            self.change([row])
-        return {"others": others, "uplink": self.uplink(row["rack"])}
+            self.apply_change([row])
+        return {"others": others, "uplink": self.uplink_kb(row["rack"])}
 
-    def check(self):
+    def expire_silent_boxes(self):
         time = now()
-        gone = [id for id, at in self.heard.items() if time - at > SILENT]
+        gone = [id for id, at in self.heartbeat_at.items() if time - at > HEARTBEAT_TIMEOUT]
         for id in gone:
-            del self.heard[id]
-            self.asks.pop(id, None)
+            del self.heartbeat_at[id]
+            self.demands.pop(id, None)
         if gone:
-            self.change([{**self.rows[id], "state": "gone"} for id in gone if id in self.rows])
-        self.timer = self.loop.call_later(0.1, self.check)
+            self.apply_change([{**self.rows[id], "state": "gone"} for id in gone if id in self.rows])
+        self.timer = self.loop.call_later(0.1, self.expire_silent_boxes)
 
-    def change(self, rows):
+    def apply_change(self, rows):
         since, self.version = self.version, self.version + 1
         for row in rows:
             if row["state"] == "gone":
@@ -73,22 +75,22 @@
         self.history.append((since, self.version, rows, now()))
         del self.history[:-2000]
         for manager in list(self.streams):
-            self.loop.call_later(self.late / 10_000, self.tell, manager, since, self.version, rows, now())
+            self.loop.call_later(self.change_delay / 10_000, self.send_delta, manager, since, self.version, rows, now())
 
-    def wire_row(self, manager, row, seen):
+    def list_entry(self, manager, row, seen):
         keys = ("id", "address", "kind", "cell", "zone", "weight", "boot", "state")
-        address = self.by_asker.get(manager, {}).get(str(row["id"]), row["address"])
+        address = self.addresses_by_manager.get(manager, {}).get(str(row["id"]), row["address"])
         return {
             **{k: row[k] for k in keys},
             "address": address,
             "up_ms": row["up_ms"] + (now() - row.get("seen", seen)) / 10,
         }
 
-    def tell(self, manager, since, version, rows, seen):
+    def send_delta(self, manager, since, version, rows, seen):
         stream = self.streams.get(manager)
         if stream is None or self.frozen:
             return
-        boxes = [self.wire_row(manager, row, seen) for row in rows]
+        boxes = [self.list_entry(manager, row, seen) for row in rows]
         self.record.put(
             "told",
             manager=manager,
@@ -113,9 +115,9 @@
             return
         if kept and kept[0][0] == int(since):
             for h in kept:
-                self.tell(name, *h)
+                self.send_delta(name, *h)
             return
-        rows = [self.wire_row(name, row, now()) for row in self.rows.values()]
+        rows = [self.list_entry(name, row, now()) for row in self.rows.values()]
         self.record.put(
             "told",
             manager=name,
@@ -131,9 +133,9 @@
         {"ways": {manager: {box: address}}}: each asker's own addresses.
         """
         if "ways" in row:
-            self.by_asker = row["ways"]
+            self.addresses_by_manager = row["ways"]
         if "late_ms" in row:
-            self.late = round(row["late_ms"] * 10)
+            self.change_delay = round(row["late_ms"] * 10)
         if "frozen" in row:
             was, self.frozen = self.frozen, bool(row["frozen"])
             if was and not self.frozen:
@@ -147,7 +149,7 @@
         self.record.put("command", **row)
 
 
-class Beats(asyncio.DatagramProtocol):
+class HeartbeatProtocol(asyncio.DatagramProtocol):
     def __init__(self, owner):
         self.owner = owner
 
@@ -155,4 +157,4 @@
         self.transport = transport
 
     def datagram_received(self, data, addr):
-        self.transport.sendto(json.dumps(self.owner.beat(json.loads(data))).encode(), addr)
+        self.transport.sendto(json.dumps(self.owner.handle_heartbeat(json.loads(data))).encode(), addr)
--- a/flaxscale/standins/boxserver.py
+++ b/flaxscale/standins/boxserver.py
@@ -24,12 +24,12 @@
 from ..store.latest import Latest
 from ..versions.floor import At, FloorBook
 
-BEAT_S = 0.1  # to the box list: that it runs, and what it asks of the rack's uplink
-UNDER_FLOOR = 412, "Under the floor", "what this manager goes by is too old"
-UNHEARD = 1_000  # overs that a manager is told later, and managers' lives of which any are kept
-REFUSED_TRY = {410: "Taken up by another manager", 421: "Meant for another start of this box"}
-STAMPS = 2_000  # that are known by their numbers
-PROBLEM = ("Content-Type", "application/problem+json")
+HEARTBEAT_S = 0.1  # to the box list: that it runs, and what it asks of the rack's uplink
+BELOW_FLOOR = 412, "Under the floor", "what this manager goes by is too old"
+MAX_UNDELIVERED = 1_000  # overs that a manager is told later, and managers' lives of which any are kept
+FENCE_REFUSALS = {410: "Taken up by another manager", 421: "Meant for another start of this box"}
+MAX_STAMPS = 2_000  # that are known by their numbers
+PROBLEM_TYPE = ("Content-Type", "application/problem+json")
 
 
 class Orders(msgspec.Struct):
@@ -38,7 +38,7 @@
     epochs: dict[str, int] = {}  # under which the manager holds a session, where it took it over
 
 
-class Mark(msgspec.Struct):
+class FenceRequest(msgspec.Struct):
     mark: str
 
 
@@ -64,25 +64,28 @@
 
         files, lease_files: where its floor and its fence of leases are kept. StoreError, ValueError: can't be read.
         """
-        self.box, self.note_every, self.note_lag, self.lease, self.media_most = box, *site_row
+        self.box, self.note_interval, self.note_delay, self.lease, self.media_timeout = box, *site_row
         self.server = Server(self.handle, Limits(16384, 64, 2048, 65536), most=100_000)
         self.record, self.token = record or Recorder(), token
-        self.kept = Latest(files, 50) if files is not None else None
-        self.kept_leases = Latest(lease_files, 50) if lease_files is not None else None
-        self.leases = Fence(self.kept_leases and self.kept_leases.kept)
-        self.bars = SetupFence(box.boot)
-        self.floors, self.acting = FloorBook(self.kept and self.kept.kept), {}
-        self.streams, self.timers, self.media, self.names, self.short = {}, set(), {}, {}, {}
-        self.unheard = {}  # (manager, life): what it could not be told, as it had no stream
-        self.lives, self.last_stream = {}, {}  # manager: the life whose stream this is; (manager, life): its end
+        self.floor_store = Latest(files, 50) if files is not None else None
+        self.lease_store = Latest(lease_files, 50) if lease_files is not None else None
+        self.lease_fence = Fence(self.lease_store and self.lease_store.kept)
+        self.setup_fence = SetupFence(box.boot)
+        self.floor_book, self.stamp_versions = FloorBook(self.floor_store and self.floor_store.kept), {}
+        self.streams, self.timers, self.media_by_ufrag, self.key_by_name, self.was_short = {}, set(), {}, {}, {}
+        self.undelivered = {}  # (manager, life): what it could not be told, as it had no stream
+        self.stream_life, self.stream_ended_at = (
+            {},
+            {},
+        )  # manager: the life whose stream this is; (manager, life): its end
         self.udp, self.loop, self.address = None, None, None
         self.list_address = list_address
         self.catalogue = None
         if catalogue:
             from ..catalogued.watch import CatalogueWatch  # gRPC is slow to load and most boxes need none
 
-            self.catalogue = CatalogueWatch(catalogue, f"box-{box.place.id}", "box", self.title_news, log)
-            box.live = {}  # it holds nothing until it is told
+            self.catalogue = CatalogueWatch(catalogue, f"box-{box.place.id}", "box", self.titles_changed, log)
+            box.catalogue_rows = {}  # it holds nothing until it is told
         fingerprint = hashlib.sha256(f"{box.seed}:{box.place.id}".encode()).digest()
         self.fingerprint = ":".join(f"{b:02X}" for b in fingerprint)
 
@@ -92,14 +95,14 @@
         if self.list_address:
             list_host, _, list_port = self.list_address.rpartition(":")
             self.udp, _ = await self.loop.create_datagram_endpoint(
-                lambda: Beat(self), remote_addr=(list_host, int(list_port)), family=socket.AF_INET
+                lambda: HeartbeatProtocol(self), remote_addr=(list_host, int(list_port)), family=socket.AF_INET
             )
-            self.beat()
+            self.send_heartbeat()
         if self.catalogue:
             self.catalogue.start()
-        if self.note_every:
-            self.later(self.note_every, self.notes)
-        self.later(10_000, self.shortage)
+        if self.note_interval:
+            self.call_later(self.note_interval, self.send_notes)
+        self.call_later(10_000, self.send_shortage)
         self.record.put(
             "start",
             box=self.box.place.id,
@@ -108,10 +111,10 @@
             slots=self.box.place.slots,
             up=now() - self.box.started_at,
         )
-        self.tell_floor()
+        self.record_floor()
         return self.address
 
-    def later(self, tenths, act, *args):
+    def call_later(self, tenths, act, *args):
         """A timer that dies with the box."""
 
         def run():
@@ -122,7 +125,7 @@
         self.timers.add(handle)
         return handle
 
-    def beat(self):
+    def send_heartbeat(self):
         box, place = self.box, self.box.place
         self.udp.sendto(
             json.dumps(
@@ -137,11 +140,11 @@
                     "up_ms": (now() - box.started_at) / 10,
                     "state": "draining" if box.trouble.drain else "ready",
                     "rack": place.rack,
-                    "kb": 0.0 if box.fallen else box.asked(),
+                    "kb": 0.0 if box.crashed else box.demand_kb(),
                 }
             ).encode()
         )
-        self.later(round(BEAT_S * 10_000), self.beat)
+        self.call_later(round(HEARTBEAT_S * 10_000), self.send_heartbeat)
 
     # Requests
 
@@ -151,36 +154,36 @@
             if self.token and segments[0] != "media":
                 endpoint.check_token(exchange.request.headers, [self.token])
             if segments[0] == "manager" and len(segments) == 2:
-                self.manager(exchange, segments[1])
+                self.handle_manager(exchange, segments[1])
             elif segments[0] == "media" and len(segments) == 2:
-                self.play(exchange, segments[1])
+                self.handle_media(exchange, segments[1])
             else:
                 want = endpoint.read(exchange.request, segments, args)
                 if isinstance(want, endpoint.Offer):
-                    self.offer(exchange, want)
+                    self.handle_offer(exchange, want)
                 elif isinstance(want, endpoint.Patch):
-                    self.patch(exchange, want)
+                    self.handle_patch(exchange, want)
                 elif isinstance(want, endpoint.Delete):
-                    self.delete(exchange, want)
+                    self.handle_delete(exchange, want)
                 else:
                     exchange.respond(204, endpoint.options_headers(want))
         except endpoint.Refusal as no:
-            exchange.respond(no.status, [PROBLEM, ("Flaxscale-Ran", "no"), *no.headers], no.body())
+            exchange.respond(no.status, [PROBLEM_TYPE, ("Flaxscale-Ran", "no"), *no.headers], no.body())
 
-    def offer(self, exchange, offer):
+    def handle_offer(self, exchange, offer):
         box, trouble, headers = self.box, self.box.trouble, exchange.request.headers
         key = offer.key or f"direct.{secrets.token_hex(6)}"
         manager, rung = headers.get("flaxscale-manager", ""), headers.get("flaxscale-rung", "0")
         rung = int(rung) if rung.isascii() and rung.isdigit() else -1
         time = now()
-        under = self.under(exchange, manager)
+        under = self.read_stamp(exchange, manager)
         self.record.put(
             "setup",
             key=key,
             trace=offer.trace,
             manager=manager,
             title=offer.title,
-            package=self.package(offer),
+            package=self.package_of(offer),
             rung=rung,
             sends=offer.sends,
             **under,
@@ -192,28 +195,28 @@
             exchange.kill()
             self.record.put("closed", key=key)
             return
-        if no := self.under_floor(manager, under):
-            self.never_ran(exchange, key, *UNDER_FLOOR, no)
+        if no := self.floor_refusal_headers(manager, under):
+            self.refuse_not_run(exchange, key, *BELOW_FLOOR, no)
             return
         mark, printed, meant_for = (*headers.get("flaxscale-try", "").split(";"), "", "")[:3]
-        if mark and (status := self.bars.refusal_status(mark, manager, meant_for)):
-            self.never_ran(exchange, key, status, REFUSED_TRY[status], "")
+        if mark and (status := self.setup_fence.refusal_status(mark, manager, meant_for)):
+            self.refuse_not_run(exchange, key, status, FENCE_REFUSALS[status], "")
             return
-        verdict, session = box.set_up(key, offer.title, offer.sends, manager, rung, time)
-        if verdict.status == 0:
+        result, session = box.set_up(key, offer.title, offer.sends, manager, rung, time)
+        if result.status == 0:
             self.record.put("fell", box=box.place.id, boot=box.boot)
             self.die()
             return
         if session is not None:
             self.record.put("begun", key=key)
-            self.open(session, offer)
+            self.assign_credentials(session, offer)
             session.cookie = headers.get("flaxscale-cookie", "")[:2000]
-            session.life = self.life_of(exchange)
+            session.life = self.manager_life(exchange)
             if mark:
-                session.mark, session.print = mark, printed
-                self.bars.started(mark, key)
+                session.digest, session.offer_digest = mark, printed
+                self.setup_fence.started(mark, key)
             if manager:
-                self.attend(manager, session.life)
+                self.ensure_lease(manager, session.life)
         kind = next(
             (
                 k
@@ -224,15 +227,15 @@
         )
         patience = headers.get("flaxscale-patience", "")
         until = time + int(patience) * 10 if patience.isascii() and patience.isdigit() else None
-        if session is not None and until is not None and time + verdict.after > until:
+        if session is not None and until is not None and time + result.after > until:
             # A span, not a clock time: it is over before the work would be done, so the work is not done.
-            self.later(until - time, self.over_time, exchange, key)
+            self.call_later(until - time, self.patience_expired, exchange, key)
             return
-        self.later(verdict.after, self.answer, exchange, offer, key, verdict, session, kind)
+        self.call_later(result.after, self.send_answer, exchange, offer, key, result, session, kind)
 
-    def package(self, offer):
+    def package_of(self, offer):
         """The package of the title, whether it is held here now or not."""
-        if self.box.live is not None:
+        if self.box.catalogue_rows is not None:
             row = self.catalogue.follower.titles.get(offer.title)
             return row and (row.push if offer.sends else row.view)
         row = self.box.site.titles.get(offer.title)
@@ -240,58 +243,60 @@
 
     # The catalogue
 
-    def title_news(self, titles, version):
+    def titles_changed(self, titles, version):
         """It holds what the catalogue says, from the moment that it hears it."""
         follower = self.catalogue.follower
         titles = titles if titles is not None else follower.titles
-        if self.floors.source(str(follower.epoch), follower.floor):
-            self.keep_floor()
+        if self.floor_book.source(str(follower.epoch), follower.floor):
+            self.save_floor()
         mine, told = {}, {}
         for name, t in titles.items():
             state = dict(t.holders).get(self.box.place.id) if t is not None else None
-            if state is None and name not in (self.box.live or {}):
+            if state is None and name not in (self.box.catalogue_rows or {}):
                 continue
             mine[name] = None if state is None else (t.view, t.push, state, t.low, t.top)
             told[name] = [state or "gone", dict(t.seats) if t is not None else {}]
-        for session in self.box.catalogued(mine):
+        for session in self.box.apply_catalogue(mine):
             self.record.put("rung", key=session.key, rung=session.rung)
         self.record.put("holds", version=version, titles=told)
 
     # The floor of versions
 
-    def keep_floor(self):
+    def save_floor(self):
         """Durable before anything is refused by it, so that it holds after a start too."""
-        if self.kept is not None:
-            self.kept.put(self.floors.dump())
-        self.tell_floor()
+        if self.floor_store is not None:
+            self.floor_store.put(self.floor_book.dump())
+        self.record_floor()
 
-    def tell_floor(self):
-        if self.floors.epoch:
-            self.record.put("floor", epoch=self.floors.epoch, floor=self.floors.floor, earlier=self.floors.earlier)
+    def record_floor(self):
+        if self.floor_book.epoch:
+            self.record.put(
+                "floor", epoch=self.floor_book.epoch, floor=self.floor_book.floor, earlier=self.floor_book.earlier
+            )
 
-    def under_floor(self, manager, under):
+    def floor_refusal_headers(self, manager, under):
         """The field of a refusal where a manager acts under the floor, or nobody can tell under what; else none."""
         if self.box.trouble.unfloored or not manager:
             return []
         number = under["stamp"]
-        acting = self.acting.get((manager, under["life"], number))
-        if not self.floors.refuses(acting):
+        acting = self.stamp_versions.get((manager, under["life"], number))
+        if not self.floor_book.refuses(acting):
             return []
         # One that is known by its number, but not here, is told whole the next time.
         lost = ";unknown" if acting is None and number is not None else ""
-        return [("Flaxscale-Floor", f"{self.floors.epoch};{self.floors.floor}{lost}")]
+        return [("Flaxscale-Floor", f"{self.floor_book.epoch};{self.floor_book.floor}{lost}")]
 
-    def open(self, session, offer):
+    def assign_credentials(self, session, offer):
         if session.name is None:
             session.name, session.ufrag = secrets.token_urlsafe(9), secrets.token_hex(4)
             session.etag = '"%s"' % secrets.token_hex(4)
-            self.names[session.name] = self.media_key(session.ufrag, session.key)
+            self.key_by_name[session.name] = self.register_media(session.ufrag, session.key)
 
-    def media_key(self, ufrag, key):
-        self.media[ufrag] = key
+    def register_media(self, ufrag, key):
+        self.media_by_ufrag[ufrag] = key
         return key
 
-    def answer(self, exchange, offer, key, verdict, session, kind):
+    def send_answer(self, exchange, offer, key, result, session, kind):
         if self.box.trouble.hang or (session is not None and session.key not in self.box.sessions):
             if exchange.answered or self.box.trouble.hang:
                 return
@@ -317,11 +322,11 @@
             exchange.kill()
             self.record.put("closed", key=key)
             return
-        told = [self.report()] if self.box.site.reports == "answers" else []
-        rows = [*told, ("Flaxscale-Ran", "yes" if verdict.ran else "no"), ("Flaxscale-Boot", self.box.boot)]
+        told = [self.load_header()] if self.box.site.reports == "answers" else []
+        rows = [*told, ("Flaxscale-Ran", "yes" if result.ran else "no"), ("Flaxscale-Boot", self.box.boot)]
         if session is None:
-            self.record.put("answer", key=key, status=verdict.status, ran=verdict.ran)
-            exchange.refuse(verdict.status, endpoint.TITLES.get(verdict.status, "Refused"), verdict.why, rows)
+            self.record.put("answer", key=key, status=result.status, ran=result.ran)
+            exchange.refuse(result.status, endpoint.TITLES.get(result.status, "Refused"), result.why, rows)
             return
         rows += [
             ("Content-Type", endpoint.SDP),
@@ -341,37 +346,37 @@
         exchange.gone = None
         exchange.respond(201, rows, body)
 
-    def over_time(self, exchange, key):
+    def patience_expired(self, exchange, key):
         """Its patience is over before it was set up: the work stops, and it never ran."""
         if key not in self.box.sessions or self.box.trouble.hang:
             return
-        self.finish(key, "over time", tell=False)
-        self.never_ran(exchange, key, 504, "Its time is over", "not set up within its patience")
+        self.end_session(key, "over time", tell=False)
+        self.refuse_not_run(exchange, key, 504, "Its time is over", "not set up within its patience")
 
-    def never_ran(self, exchange, key, status, title, detail, more=()):
+    def refuse_not_run(self, exchange, key, status, title, detail, more=()):
         """Refuses a set-up, with the promise that it never ran and never will."""
         self.record.put("answer", key=key, status=status, ran=False)
         exchange.gone = None
         exchange.refuse(status, title, detail, [*more, ("Flaxscale-Ran", "no"), ("Flaxscale-Boot", self.box.boot)])
 
-    def session_of(self, name):
-        session = self.box.sessions.get(self.names.get(name))
+    def find_session(self, name):
+        session = self.box.sessions.get(self.key_by_name.get(name))
         if session is None:
             raise endpoint.Refusal(404, "no such session here")
         return session
 
-    def patch(self, exchange, want):
+    def handle_patch(self, exchange, want):
         if self.box.trouble.hang:
             return
-        session, fragment = self.session_of(want.name), want.fragment
+        session, fragment = self.find_session(want.name), want.fragment
         if want.match != "*" and session.etag not in [tag.strip() for tag in want.match.split(",")]:
             raise endpoint.Refusal(412, "the ETag is not the session's", [("ETag", session.etag)])
         if want.match == "*":  # an ICE restart (RFC 9725, 4.3.3): new credentials, a new ETag
             if not fragment.pwd:
                 raise endpoint.Refusal(422, "an ICE restart needs a new ufrag and password")
-            self.media.pop(session.ufrag, None)
+            self.media_by_ufrag.pop(session.ufrag, None)
             session.ufrag, session.etag = secrets.token_hex(4), '"%s"' % secrets.token_hex(4)
-            self.media_key(session.ufrag, session.key)
+            self.register_media(session.ufrag, session.key)
             host, port = self.address
             body = (
                 f"a=ice-ufrag:{session.ufrag}\r\na=ice-pwd:{secrets.token_hex(12)}\r\n"
@@ -382,77 +387,77 @@
             return
         exchange.respond(204, [("ETag", session.etag)])
 
-    def delete(self, exchange, want):
-        session = self.session_of(want.name)
-        self.finish(session.key, "left")
+    def handle_delete(self, exchange, want):
+        session = self.find_session(want.name)
+        self.end_session(session.key, "left")
         exchange.respond(200)
 
-    def finish(self, key, how, tell=True):
+    def end_session(self, key, how, tell=True):
         """Ends a session; its manager hears of it unless it asked for it itself."""
         session = self.box.end(key, now())
         if session is None:
             return False
-        self.names.pop(session.name, None)
-        self.bars.ended(session.mark, key)
+        self.key_by_name.pop(session.name, None)
+        self.setup_fence.ended(session.digest, key)
         if session.ufrag is not None:
-            watcher = self.media.pop(session.ufrag, None)
+            watcher = self.media_by_ufrag.pop(session.ufrag, None)
             if isinstance(watcher, tuple):
                 watcher[1].end()
         self.record.put("over", key=key, how=how)
         if tell:
-            self.tell_over(session.manager, session.life, key, how)
+            self.notify_session_over(session.manager, session.life, key, how)
         return True
 
-    def tell_over(self, manager, life, key, how, to=""):
+    def notify_session_over(self, manager, life, key, how, to=""):
         """Its manager hears that it plays it no more: now, or as the first thing once its stream is there."""
         row = json.dumps({"key": key, "how": how, "to": to})
-        if self.attended(manager, life):
+        if self.has_stream(manager, life):
             self.streams[manager].send(sse.encode("over", row))
         else:
-            unheard = self.unheard.setdefault((manager, life), [])
-            unheard.append(row)
-            del unheard[:-UNHEARD]
-            while len(self.unheard) > UNHEARD:
-                del self.unheard[next(iter(self.unheard))]
+            undelivered = self.undelivered.setdefault((manager, life), [])
+            undelivered.append(row)
+            del undelivered[:-MAX_UNDELIVERED]
+            while len(self.undelivered) > MAX_UNDELIVERED:
+                del self.undelivered[next(iter(self.undelivered))]
 
     # Media: what a player sees of its viewing
 
-    def play(self, exchange, ufrag):
-        key = self.media.get(ufrag)
+    def handle_media(self, exchange, ufrag):
+        key = self.media_by_ufrag.get(ufrag)
         key = key[0] if isinstance(key, tuple) else key
         if key not in self.box.sessions:
             raise endpoint.Refusal(404, "no such media here")
-        self.media[ufrag] = key, exchange
-        self.box.sessions[key].media = True
+        self.media_by_ufrag[ufrag] = key, exchange
+        self.box.sessions[key].media_requested = True
         exchange.stream([("Content-Type", "text/plain")])
-        exchange.gone = lambda: self.media_gone(ufrag, key)
-        self.flow(exchange, key)
+        exchange.gone = lambda: self.media_closed(ufrag, key)
+        self.send_media(exchange, key)
 
-    def media_gone(self, ufrag, key):
+    def media_closed(self, ufrag, key):
         """The player's path is gone: consent has ended (RFC 7675), and so does the session."""
         if key in self.box.sessions and not self.box.trouble.hang:
-            self.finish(key, "left")
+            self.end_session(key, "left")
 
-    def flow(self, exchange, key):
+    def send_media(self, exchange, key):
         session = self.box.sessions.get(key)
         if session is None or not exchange.streams:
             return
         if not self.box.trouble.hang:
-            session.flowed = now()
-            exchange.send(b"%d %.3f\n" % (session.rung, self.box.delivered(now())))
-        self.later(10_000, self.flow, exchange, key)
+            session.last_media_at = now()
+            exchange.send(b"%d %.3f\n" % (session.rung, self.box.delivered_share(now())))
+        self.call_later(10_000, self.send_media, exchange, key)
 
     # Managers
 
-    def manager(self, exchange, what):
+    def handle_manager(self, exchange, what):
         request, name = exchange.request, exchange.request.headers.get("flaxscale-manager", "")
         act = {
-            ("notes", "GET"): self.note_stream,
-            ("orders", "POST"): self.orders,
-            ("sessions", "GET"): self.sessions,
-            ("adopt", "POST"): self.claims,
-            ("load", "GET"): self.probe,
-            ("tries", "POST"): self.take_try,
+            ("notes", "GET"): self.open_note_stream,
+            ("orders", "POST"): self.handle_orders,
+            ("sessions", "GET"): self.handle_sessions,
+            ("adopt", "POST"): self.handle_claims,
+            ("load", "GET"): self.handle_probe,
+            ("tries", "POST"): self.handle_try_fence,
         }.get((what, request.method))
         if act is None or (not name and what in ("notes", "adopt", "tries")):
             raise endpoint.Refusal(
@@ -462,34 +467,34 @@
             )
         act(exchange, name)
 
-    def note_stream(self, exchange, name):
-        life = self.life_of(exchange)
+    def open_note_stream(self, exchange, name):
+        life = self.manager_life(exchange)
         old, self.streams[name] = self.streams.get(name), exchange
         if old is not None:
             old.end()
-        before = self.lives.get(name, life)
-        if before != life and (name, before) not in self.last_stream:  # it still had its stream: its lease begins
+        before = self.stream_life.get(name, life)
+        if before != life and (name, before) not in self.stream_ended_at:  # it still had its stream: its lease begins
             self.begin_lease(name, before)
-        self.lives[name] = life
-        self.last_stream.pop((name, life), None)
+        self.stream_life[name] = life
+        self.stream_ended_at.pop((name, life), None)
         exchange.stream([("Content-Type", "text/event-stream"), ("Cache-Control", "no-store")])
-        exchange.gone = lambda: self.manager_gone(name, life, exchange)
+        exchange.gone = lambda: self.stream_closed(name, life, exchange)
         mine = [key for key, s in self.box.sessions.items() if s.manager == name]
         exchange.send(sse.encode("hello", json.dumps({"boot": self.box.boot, "keys": mine})))
-        for row in self.unheard.pop((name, life), ()):
+        for row in self.undelivered.pop((name, life), ()):
             exchange.send(sse.encode("over", row))
 
-    def body_of(self, exchange, kind, what):
+    def decode_body(self, exchange, kind, what):
         try:
             return msgspec.json.decode(exchange.request.body, type=kind)
         except msgspec.MsgspecError as bad:
             raise endpoint.Refusal(400, f"{what} that can't be read: {bad}") from None
 
-    def say(self, exchange, row):
+    def respond_json(self, exchange, row):
         exchange.respond(200, [("Content-Type", "application/json")], json.dumps(row).encode())
 
-    def orders(self, exchange, name):
-        orders, under = self.body_of(exchange, Orders, "orders"), self.under(exchange, name)
+    def handle_orders(self, exchange, name):
+        orders, under = self.decode_body(exchange, Orders, "orders"), self.read_stamp(exchange, name)
         fenced = [
             key
             for key in (*orders.end, *orders.rungs)
@@ -497,7 +502,7 @@
         ]
         ends = [key for key in orders.end if key not in fenced]
         # An end does no harm under any version, and what plays must end; a rung is refused under the floor.
-        no = self.under_floor(name, under)
+        no = self.floor_refusal_headers(name, under)
         rungs = {} if no else orders.rungs
         if ends or rungs:
             self.record.put(
@@ -513,27 +518,27 @@
         if self.box.trouble.hang:
             return
         for key in ends:
-            if not self.finish(key, "ended", tell=False):
+            if not self.end_session(key, "ended", tell=False):
                 self.record.put("unmade", key=key)
         for key, rung in rungs.items():
             if key not in fenced and (set_to := self.box.set_rung(key, rung)) is not None:
                 self.record.put("rung", key=key, rung=set_to)
         exchange.respond(200, [("Content-Type", "application/json"), *no], json.dumps({"fenced": fenced}).encode())
 
-    def report(self):
-        return load.FIELD, load.encode(self.box.figures(now()))
+    def load_header(self):
+        return load.FIELD, load.encode(self.box.load_figures(now()))
 
-    def probe(self, exchange, name):
+    def handle_probe(self, exchange, name):
         """A probe: answered beside the set-ups, so that it says that the process runs and how full it is."""
         self.record.put("probed", manager=name)
         if not self.box.trouble.hang:
-            exchange.respond(200, [self.report()], b"")
+            exchange.respond(200, [self.load_header()], b"")
 
-    def sessions(self, exchange, name):
+    def handle_sessions(self, exchange, name):
         _, args = endpoint.split(exchange.request.target)
         if not self.box.trouble.hang:
             told = [self.session_row(s) for s in self.box.sessions.values() if s.name]
-            self.say(
+            self.respond_json(
                 exchange,
                 {
                     "boot": self.box.boot,
@@ -552,26 +557,26 @@
             "epoch": epoch,
             "rung": s.rung,
             "location": f"/session/{s.name}",
-            "media": s.media,
-            "age_ms": (now() - s.began) / 10,
+            "media": s.media_requested,
+            "age_ms": (now() - s.started_at) / 10,
             "cookie": s.cookie,
         }
 
-    def claims(self, exchange, name):
-        claims = self.body_of(exchange, Claims, "claims").claims
+    def handle_claims(self, exchange, name):
+        claims = self.decode_body(exchange, Claims, "claims").claims
         if not self.box.trouble.hang:
-            life, under = self.life_of(exchange), self.under(exchange, name)
-            if no := self.under_floor(name, under):
-                exchange.refuse(*UNDER_FLOOR, no)
+            life, under = self.manager_life(exchange), self.read_stamp(exchange, name)
+            if no := self.floor_refusal_headers(name, under):
+                exchange.refuse(*BELOW_FLOOR, no)
                 return
-            if not self.under_lease(exchange):
+            if not self.check_lease(exchange):
                 return
-            self.say(
+            self.respond_json(
                 exchange,
-                {"granted": [key for key, epoch in claims.items() if self.adopt(key, epoch, name, life, under)]},
+                {"granted": [key for key, epoch in claims.items() if self.grant_claim(key, epoch, name, life, under)]},
             )
 
-    def under_lease(self, exchange):
+    def check_lease(self, exchange):
         """Whether what is done under a lease may be done: by none older than the last one that was here."""
         field = exchange.request.headers.get("flaxscale-lease")
         if field is None:
@@ -581,41 +586,46 @@
         if not token.isdecimal() or not owner:
             raise endpoint.Refusal(400, "a lease is told as piece;token;owner")
         row = {"piece": piece[:100], "owner": owner[:100], "token": int(token)}
-        if not self.box.trouble.unfenced and not self.leases.takes(piece[:100], int(token), owner[:100]):
-            known = self.leases.token(piece[:100])
+        if not self.box.trouble.unfenced and not self.lease_fence.takes(piece[:100], int(token), owner[:100]):
+            known = self.lease_fence.token(piece[:100])
             self.record.put("lease", did="refused", **row)
             exchange.refuse(409, "An outdated lease", "", [("Flaxscale-Outdated", str(known))])
             return False
-        if self.kept_leases is not None:
-            self.kept_leases.put(self.leases.dump())
+        if self.lease_store is not None:
+            self.lease_store.put(self.lease_fence.dump())
         self.record.put("lease", did="act", **row)
         return True
 
-    def take_try(self, exchange, name):
+    def handle_try_fence(self, exchange, name):
         """A manager takes up a client's earlier try: what stands is told, what has not come can't begin any more."""
-        mark = self.body_of(exchange, Mark, "a mark").mark
+        mark = self.decode_body(exchange, FenceRequest, "a mark").mark
         if self.box.trouble.hang:
             return
-        session = self.box.sessions.get(self.bars.fence(mark, name, now()))
+        session = self.box.sessions.get(self.setup_fence.fence(mark, name, now()))
         self.record.put("try", mark=mark, manager=name, key=session and session.key)
         if session is None or session.reply is None:
-            self.say(exchange, {"boot": self.box.boot, "out": session is not None})
+            self.respond_json(exchange, {"boot": self.box.boot, "out": session is not None})
             return
         etag, body = session.reply
-        self.say(
+        self.respond_json(
             exchange,
             {
                 "boot": self.box.boot,
-                "stood": {**self.session_row(session), "print": session.print, "etag": etag, "body": body.decode()},
+                "stood": {
+                    **self.session_row(session),
+                    "print": session.offer_digest,
+                    "etag": etag,
+                    "body": body.decode(),
+                },
             },
         )
 
-    def life_of(self, exchange):
+    def manager_life(self, exchange):
         return exchange.request.headers.get("flaxscale-life", "")
 
-    def under(self, exchange, manager):
+    def read_stamp(self, exchange, manager):
         """The life and the stamp under which a manager acts, for the records; a whole stamp gets a row of its own."""
-        life, field = self.life_of(exchange), exchange.request.headers.get("flaxscale-stamp")
+        life, field = self.manager_life(exchange), exchange.request.headers.get("flaxscale-stamp")
         try:
             number, whole = stamp.read(field) if field is not None else (None, None)
         except ValueError as bad:
@@ -624,87 +634,87 @@
         if whole is not None:
             self.record.put("stamp", manager=manager, life=life, number=number, stamp=msgspec.structs.asdict(whole))
             at = At(*whole.catalogue) if whole.catalogue is not None else None
-            self.acting[manager, life, number] = at
-            if len(self.acting) > STAMPS:
-                del self.acting[next(iter(self.acting))]
-            if at is not None and self.floors.told(at.epoch, whole.floor):
-                self.keep_floor()
+            self.stamp_versions[manager, life, number] = at
+            if len(self.stamp_versions) > MAX_STAMPS:
+                del self.stamp_versions[next(iter(self.stamp_versions))]
+            if at is not None and self.floor_book.told(at.epoch, whole.floor):
+                self.save_floor()
         return {"life": life, "stamp": number}
 
-    def adopt(self, key, epoch, name, life="", under=None):
+    def grant_claim(self, key, epoch, name, life="", under=None):
         """One claim. Who held the session before hears that it is another's now, if it still listens."""
         held = self.box.sessions.get(key)
         life_before = held.life if held is not None else ""
         good, before = self.box.adopt(key, epoch, name, life)
         if good:
             self.record.put("adopted", key=key, manager=name, epoch=epoch, **(under or {}))
-            self.attend(name, life)
+            self.ensure_lease(name, life)
             if before != name:
-                self.tell_over(before, life_before, key, "moved", name)
+                self.notify_session_over(before, life_before, key, "moved", name)
         return good
 
-    def manager_gone(self, name, life, exchange):
+    def stream_closed(self, name, life, exchange):
         if self.streams.get(name) is exchange:
             del self.streams[name]
             self.begin_lease(name, life)
 
-    def attend(self, name, life):
+    def ensure_lease(self, name, life):
         """Something of this life is here now: without a stream of its own its lease begins."""
-        if (name, life) not in self.last_stream and not self.attended(name, life):
+        if (name, life) not in self.stream_ended_at and not self.has_stream(name, life):
             self.begin_lease(name, life)
 
-    def attended(self, name, life):
-        return name in self.streams and self.lives.get(name) == life
+    def has_stream(self, name, life):
+        return name in self.streams and self.stream_life.get(name) == life
 
     def begin_lease(self, name, life):
-        self.last_stream[name, life] = now()
-        self.later(self.lease, self.lease_over, name, life)
+        self.stream_ended_at[name, life] = now()
+        self.call_later(self.lease, self.lease_expired, name, life)
 
-    def lease_over(self, name, life):
+    def lease_expired(self, name, life):
         """A manager's life that stayed away takes with it what nobody claimed."""
-        if self.attended(name, life) or now() - self.last_stream.get((name, life), now()) < self.lease:
+        if self.has_stream(name, life) or now() - self.stream_ended_at.get((name, life), now()) < self.lease:
             return
-        del self.last_stream[name, life]
+        del self.stream_ended_at[name, life]
         for key in [key for key, s in self.box.sessions.items() if s.manager == name and s.life == life]:
-            self.finish(key, "lease", tell=False)
+            self.end_session(key, "lease", tell=False)
 
-    def one_each(self):
+    def one_session_per_manager(self):
         """For each manager with viewings here, one of them: notes are told on it."""
         found = {}
         for key, session in self.box.sessions.items():
             found.setdefault(session.manager, key)
         return found
 
-    def tell(self, manager, note):
+    def send_note(self, manager, note):
         if manager in self.streams and not self.box.trouble.hang:
             self.streams[manager].send(sse.encode("note", json.dumps(note)))
 
-    def notes(self):
+    def send_notes(self):
         """How full link and uplink are: to all at the same time, as late as the terms say."""
-        figures, late = self.box.figures(now()), self.note_lag + self.box.trouble.report_late
-        for manager, key in self.one_each().items():
-            self.later(late, self.tell, manager, {"key": key, "link": figures["x0"], "uplink": figures["x1"]})
-        self.later(self.note_every, self.notes)
+        figures, late = self.box.load_figures(now()), self.note_delay + self.box.trouble.report_late
+        for manager, key in self.one_session_per_manager().items():
+            self.call_later(late, self.send_note, manager, {"key": key, "link": figures["x0"], "uplink": figures["x1"]})
+        self.call_later(self.note_interval, self.send_notes)
 
-    def shortage(self):
+    def send_shortage(self):
         """The share delivered, once a second while it is short, and once after."""
-        share = self.box.delivered(now())
-        for manager, key in self.one_each().items():
-            was, self.short[manager] = self.short.get(manager, False), share < 0.98
+        share = self.box.delivered_share(now())
+        for manager, key in self.one_session_per_manager().items():
+            was, self.was_short[manager] = self.was_short.get(manager, False), share < 0.98
             if share < 0.98 or was:
-                self.later(self.note_lag, self.tell, manager, {"key": key, "delivered": share})
-        self.unwatched()
-        self.later(10_000, self.shortage)
+                self.call_later(self.note_delay, self.send_note, manager, {"key": key, "delivered": share})
+        self.end_idle_sessions()
+        self.call_later(10_000, self.send_shortage)
 
-    def unwatched(self):
+    def end_idle_sessions(self):
         """What had no media for long ends: consent has expired (RFC 7675, 5.1), or there never was any."""
         time = now()
         for key in (
             []
             if self.box.trouble.hang
-            else [key for key, s in self.box.sessions.items() if time - s.flowed >= self.media_most]
+            else [key for key, s in self.box.sessions.items() if time - s.last_media_at >= self.media_timeout]
         ):
-            self.finish(key, "no media")
+            self.end_session(key, "no media")
 
     # The end
 
@@ -729,13 +739,13 @@
             self.udp.close()
 
 
-class Beat(asyncio.DatagramProtocol):
+class HeartbeatProtocol(asyncio.DatagramProtocol):
     def __init__(self, owner):
         self.owner = owner
 
     def datagram_received(self, data, addr):
         told = json.loads(data)
-        self.owner.box.rack_others = told["others"]
+        self.owner.box.other_rack_kb = told["others"]
         self.owner.box.uplink_kb = told["uplink"]
 
     def error_received(self, error):
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -132,7 +132,7 @@
 class Clients(Rig):
     async def test_a_retry_with_the_same_key_joins_its_first_try(self):
         for box in (1, 2, 3):
-            self.boxes[box].box.work = 1500
+            self.boxes[box].box.setup_time = 1500
         wish = self.wish(key="k1", viewer="anna")
         data = self.post(wish)
         one, two = await asyncio.gather(self.raw(data), self.raw(data))
@@ -153,7 +153,7 @@
 
     async def test_a_viewer_who_leaves_in_the_middle_of_a_set_up(self):
         for box in (1, 2, 3):
-            self.boxes[box].box.work = 8000
+            self.boxes[box].box.setup_time = 8000
         seen = await self.ask(leaves=0.3)
         self.assertEqual("left", seen.fate)
         box = next(n for n in (1, 2, 3) if self.setups(n))
@@ -248,7 +248,7 @@
         crowd = [asyncio.ensure_future(self.ask(front=n % 3, length=60)) for n in range(60)]
         seen = await asyncio.gather(*crowd)
         self.assertLessEqual({s.fate for s in seen}, {"plays", "blocked"})  # new managers pace all they know
-        self.assertFalse(self.boxes[1].box.fallen)
+        self.assertFalse(self.boxes[1].box.crashed)
         self.assertLess(len(self.setups(1)), 15)
 
 
@@ -428,7 +428,7 @@
         self.assertEqual("late", json.loads(seen.body)["why"])
 
     async def test_a_box_stops_when_the_span_that_it_was_told_is_over(self):
-        self.boxes[1].box.work = 30_000
+        self.boxes[1].box.setup_time = 30_000
         came = asyncio.get_running_loop().create_future()
         wish = self.wish()
         self.player.pool.send(
@@ -450,7 +450,7 @@
     async def test_after_a_cancel_nothing_more_is_sent_and_the_box_is_free(self):
         # Left by the clock, some clients of a slow machine had gone before the front heard of them.
         for box in self.boxes.values():
-            box.box.work = 400_000
+            box.box.setup_time = 400_000
         lines = [await asyncio.open_connection(*self.fronts[0].address) for _ in range(12)]
         for _, writer in lines:
             writer.write(self.post(self.wish("one", patience=40.0)))
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -57,7 +57,7 @@
         self.assertEqual({"lacking"}, {r["how"] for r in self.log[0].all("tune-in failed")})
 
     async def test_a_change_in_the_middle_of_a_set_up(self):
-        self.boxes[1].box.work = 2000
+        self.boxes[1].box.setup_time = 2000
         asked = asyncio.ensure_future(self.ask("sole"))
         await self.box_rows[1].seen("setup")  # it is out: the change lets it stand
         reply = await self.change(Hold("sole", 2, HOLDING), Hold("sole", 1, LEAVING))
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -46,12 +46,12 @@
         """So many viewings, all of whose set-ups are out when this returns; their answers come a second later."""
         before = sum(len(self.setups(n)) for n in self.boxes)
         for box in self.boxes.values():  # a slow machine must not answer the first before the last is out
-            box.box.work = 10_000
+            box.box.setup_time = 10_000
         tries = [asyncio.ensure_future(self.ask("one", length=60.0, patience=40.0)) for _ in range(count)]
         await self.until(lambda: sum(len(self.setups(n)) for n in self.boxes) >= before + count, "all are out")
         self.assertFalse([t for t in tries if t.done()])
         for box in self.boxes.values():
-            box.box.work = 20
+            box.box.setup_time = 20
         return tries
 
     async def test_there_and_back_with_set_ups_out_at_both_moments(self):
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -155,8 +155,8 @@
         for log in self.log[1:]:
             await log.seen("member", name="m0", state="dead")
         for box in self.boxes.values():
-            box.last_stream["m0", gone.boot] = -self.lease  # as after the lease has expired
-            box.lease_over("m0", gone.boot)
+            box.stream_ended_at["m0", gone.boot] = -self.lease  # as after the lease has expired
+            box.lease_expired("m0", gone.boot)
         # The boxes' lease ends the sessions for which no manager had a seat.
         await self.until(lambda: self.playing() == 6, "six keep playing")
         self.assertEqual(6, self.playing())
