--- a/flaxscale/cli/audit.py
+++ b/flaxscale/cli/audit.py
@@ -10,8 +10,8 @@
 from ..rules.audit import judge
 from . import BAD
 
-BEHIND = 4  # exit status: a contradiction, or managers that go by different versions
-FIELDS = "build", "settings", "list_version", "catalogue", "peaks", "members"
+CONTRADICTED = 4  # exit status: a contradiction, or managers that go by different versions
+STAMP_FIELDS = "build", "settings", "list_version", "catalogue", "peaks", "members"
 
 
 def show_findings(judged, as_json):
@@ -35,7 +35,7 @@
         click.echo(json.dumps({"actions": judged.actions, "agreed": judged.agreed, "findings": len(judged.findings)}))
     else:
         click.echo(judged.line())
-    sys.exit(BEHIND if judged.bad() else 0)
+    sys.exit(CONTRADICTED if judged.violations() else 0)
 
 
 @audit.command()
@@ -55,7 +55,7 @@
                 at = f" at box {row['box']}" if row["box"] else ""
                 click.echo(
                     f"{life[0]} {row['kind']} {row['key']}{at}, stamp {row['number']}: "
-                    + (", ".join(f"{f} {stamp[f]}" for f in FIELDS) if stamp else "unknown")
+                    + (", ".join(f"{f} {stamp[f]}" for f in STAMP_FIELDS) if stamp else "unknown")
                 )
     if not found:
         click.echo(f"flaxscale: {name}: nothing of this name in {folder}", err=True)
--- a/flaxscale/cli/days.py
+++ b/flaxscale/cli/days.py
@@ -9,7 +9,7 @@
 from ..lab.day import DayRun
 from ..lab.shapes import read_day
 from ..rules.check import RULES, check
-from ..rules.comeback import of_day
+from ..rules.comeback import judge_day
 from ..rules.duties import NAMES as DUTIES
 from ..rules.duties import duties
 from ..rules.promises import NAMES, promises
@@ -26,8 +26,10 @@
 @click.argument("file", type=click.Path())
 @click.option("--seed", default=1, show_default=True)
 @click.option("--out", required=True, type=click.Path(), help="Folder for the records; must be empty or new.")
-@click.option("--timeline/--no-timeline", "shown", default=None, help="Print what came when; usual where a rule broke.")
-def day(file, seed, out, shown):
+@click.option(
+    "--timeline/--no-timeline", "show_timeline", default=None, help="Print what came when; usual where a rule broke."
+)
+def day(file, seed, out, show_timeline):
     """Play a day of FILE (Jsonnet) on loopback and write what passed on the sockets."""
     found = site_errors(lambda: read_day(file))
     folder = pathlib.Path(out)
@@ -36,36 +38,38 @@
         sys.exit(BAD)
     run = DayRun(found, seed, out, logger("info", None))
     service.run(run.run())
-    sys.exit(judge(out, shown))
+    sys.exit(report_day(out, show_timeline))
 
 
 @click.command("check")
 @click.argument("folder", type=click.Path())
-@click.option("--timeline/--no-timeline", "shown", default=False, help="Print what came when beside what broke.")
-def check_command(folder, shown):
+@click.option(
+    "--timeline/--no-timeline", "show_timeline", default=False, help="Print what came when beside what broke."
+)
+def check_command(folder, show_timeline):
     """Judge the six rules, what is promised of work in hand, and what was done under leases, by FOLDER's records."""
-    sys.exit(judge(folder, shown))
+    sys.exit(report_day(folder, show_timeline))
 
 
-def judge(folder, shown):
-    """shown: the time line too; None: where a rule broke."""
+def report_day(folder, show_timeline):
+    """show_timeline: the time line too; None: where a rule broke."""
     try:
         verdict, unkept = check(folder), [*promises(folder), *duties(folder)]
     except RecordError as bad:
         click.echo(f"flaxscale: {bad}", err=True)
         return BAD
-    if shown or shown is None and (verdict.breaks or unkept):
+    if show_timeline or show_timeline is None and (verdict.breaks or unkept):
         for at, text in timeline.lines(folder, [*verdict.breaks, *unkept]):
             click.echo(f"{at:8.2f} s  {text}")
     click.echo("players saw: " + ", ".join(f"{name} {n}" for name, n in sorted(verdict.counts.items())))
-    for b in verdict.breaks[:50]:
-        click.echo(f"rule {b.rule} ({RULES[b.rule - 1]}) broken: {b.detail}")
+    for violation in verdict.breaks[:50]:
+        click.echo(f"rule {violation.rule} ({RULES[violation.rule - 1]}) broken: {violation.detail}")
     if len(verdict.breaks) > 50:
         click.echo(f"... and {len(verdict.breaks) - 50} more")
-    for b in unkept[:50]:
-        click.echo(f"promise ({PROMISED[b.rule]}) not kept: {b.detail}")
-    if (back := of_day(folder)) is not None and back.back is not None:
-        click.echo(f"the fleet {'came' if back.back else 'did not come'} back: {back.said}")
+    for violation in unkept[:50]:
+        click.echo(f"promise ({PROMISED[violation.rule]}) not kept: {violation.detail}")
+    if (back := judge_day(folder)) is not None and back.recovered is not None:
+        click.echo(f"the fleet {'came' if back.recovered else 'did not come'} back: {back.summary}")
     click.echo(verdict.line())
     return BROKEN if verdict.breaks or unkept else 0
 
--- a/flaxscale/cli/fleet.py
+++ b/flaxscale/cli/fleet.py
@@ -10,7 +10,7 @@
 
 from ..rules.audit import judge
 from . import BAD, service
-from .audit import BEHIND, FIELDS, show_findings
+from .audit import CONTRADICTED, STAMP_FIELDS, show_findings
 from .catalogue import AGAIN_S, REFUSED, talks, who
 
 ANSWER_S = 2.0
@@ -85,18 +85,18 @@
         else:
             silent[address] = state if isinstance(state, str) else "a build without stamps"
     # Who lives is each manager's own view; it may differ for a moment, and is shown, not judged.
-    differ = [f for f in FIELDS if f != "members" and len({json.dumps(row.get(f)) for row in rows.values()}) > 1]
+    differ = [f for f in STAMP_FIELDS if f != "members" and len({json.dumps(row.get(f)) for row in rows.values()}) > 1]
     if as_json:
         click.echo(json.dumps({"managers": rows, "silent": silent, "differ": differ}))
     else:
         for name, row in sorted(rows.items()):
             click.echo(
                 f"{name} ({row['at']}): stamp {row['stamp']}: "
-                + ", ".join(f"{f} {row.get(f)}" + (" (differs)" if f in differ else "") for f in FIELDS)
+                + ", ".join(f"{f} {row.get(f)}" + (" (differs)" if f in differ else "") for f in STAMP_FIELDS)
             )
         for address, why in silent.items():
             click.echo(f"{address}: {why}")
-    sys.exit(BEHIND if differ or silent else 0)
+    sys.exit(CONTRADICTED if differ or silent else 0)
 
 
 def told_of(name, states):
@@ -176,7 +176,7 @@
             if able and able[0]["fleet"]["newest"]
             else "no manager has a version yet"
         )
-    sys.exit(BEHIND if lines or silent else 0)
+    sys.exit(CONTRADICTED if lines or silent else 0)
 
 
 @fleet.command()
@@ -236,4 +236,4 @@
         if as_json
         else judged.line()
     )
-    sys.exit(BEHIND if judged.bad() or silent else 0)
+    sys.exit(CONTRADICTED if judged.violations() or silent else 0)
--- a/flaxscale/cli/report.py
+++ b/flaxscale/cli/report.py
@@ -19,27 +19,27 @@
     leases, take-overs and answers on one time line."""
     from ..report.page import page
     from ..report.story import Records, tell
-    from ..rules.audit import judge, rows_of
+    from ..rules.audit import judge, read_rows
     from ..rules.check import RULES, check
-    from ..rules.comeback import of_day
+    from ..rules.comeback import judge_day
     from ..rules.duties import NAMES as DUTIES
     from ..rules.duties import duties
     from ..rules.promises import NAMES, promises
     from ..rules.records import RecordError
 
     try:
-        verdict, unkept, back = check(folder), [*promises(folder), *duties(folder)], of_day(folder)
+        verdict, unkept, back = check(folder), [*promises(folder), *duties(folder)], judge_day(folder)
         day = json.loads((folder / "day.json").read_text())
     except (RecordError, OSError, ValueError) as bad:
         click.echo(f"flaxscale: {bad}", err=True)
         sys.exit(BAD)
-    lab, clients = rows_of(folder / "lab.jsonl"), rows_of(folder / "clients.jsonl")
+    lab, clients = read_rows(folder / "lab.jsonl"), read_rows(folder / "clients.jsonl")
     began = next((r["at"] for r in lab if r["what"] == "begin"), 0)
     breaks = [(f"rule {b.rule} ({RULES[b.rule - 1]})", (b.at - began) / 10_000, b.detail) for b in verdict.breaks]
     breaks += [((NAMES | DUTIES)[b.rule], (b.at - began) / 10_000, b.detail) for b in unkept]
-    fronts = {f"m{file.stem.partition('-')[2]}": rows_of(file) for file in sorted(folder.glob("front-*.log"))}
+    fronts = {f"m{file.stem.partition('-')[2]}": read_rows(file) for file in sorted(folder.glob("front-*.log"))}
     accounts = any(folder.glob("account-*.jsonl"))
-    boxes = {file.name: rows_of(file) for file in sorted(folder.glob("box-*.jsonl"))}
+    boxes = {file.name: read_rows(file) for file in sorted(folder.glob("box-*.jsonl"))}
     catalogue = folder / "catalogue.jsonl"
     story = tell(
         Records(
@@ -47,7 +47,7 @@
             lab,
             clients,
             boxes,
-            rows_of(catalogue) if catalogue.exists() else [],
+            read_rows(catalogue) if catalogue.exists() else [],
             fronts,
             judge(folder).findings if accounts else [],
         )
@@ -55,7 +55,7 @@
     file = out or folder / "report.html"
     try:
         file.write_text(
-            page(story, clients, sorted(breaks, key=lambda b: b[1]), verdict.line(), back.said if back else "")
+            page(story, clients, sorted(breaks, key=lambda b: b[1]), verdict.line(), back.summary if back else "")
         )
     except OSError as bad:
         click.echo(f"flaxscale: {file}: can't be written: {bad.strerror}", err=True)
--- a/flaxscale/lab/hunts.py
+++ b/flaxscale/lab/hunts.py
@@ -25,10 +25,10 @@
 from ..model.judge import day_with, played, quiet_of
 from ..rules.audit import judge as audit_judge
 from ..rules.check import check
-from ..rules.comeback import of_day
+from ..rules.comeback import judge_day
 from ..rules.duties import duties
 from ..rules.promises import promises
-from ..rules.records import rows_of
+from ..rules.records import read_rows
 from ..store.files import Files
 from ..store.log import Log
 from .shapes import Day, TroubleRow, faults
@@ -98,26 +98,29 @@
     breaks = [(f"rule {b.rule}", b.detail) for b in check(out).breaks]
     breaks += [(f"promise {b.rule}", b.detail) for b in [*promises(out), *duties(out)]]
     breaks += (
-        [(f"audit: {f.what}", f"{f.manager} {f.key}: {f.detail}") for f in audit_judge(out).bad()]
+        [(f"audit: {f.what}", f"{f.manager} {f.key}: {f.detail}") for f in audit_judge(out).violations()]
         if any(out.glob("account-*.jsonl"))
         else []
     )
-    clients, lab = rows_of(out / "clients.jsonl"), rows_of(out / "lab.jsonl")
+    clients, lab = read_rows(out / "clients.jsonl"), read_rows(out / "lab.jsonl")
     began = next(r["at"] for r in lab if r["what"] == "begin")
     seen = [((r["at"] - began) // 10_000, r["fate"]) for r in clients if r["what"] == "seen"]
     more = [
         ((r["at"] - began) // 10_000, f"box {r['what']}")
         for file in out.glob("box-*.jsonl")
-        for r in rows_of(file)
+        for r in read_rows(file)
         if r["what"] in ("adopted", "fenced", "fell", "floor")
     ]
     seconds = by_second([*seen, *more])
-    back = of_day(out)
+    back = judge_day(out)
     counts = sum((came for _, came in seconds), Counter())
     kinds = Counter()
     breaks = tuple((kind, text) for kind, text in breaks if not kinds.update([kind]) and kinds[kind] <= 3)
     return Outcome(
-        breaks, back and back.back, 0.0, marks_of(troubles, counts, seconds) | {f"broke {kind}" for kind, _ in breaks}
+        breaks,
+        back and back.recovered,
+        0.0,
+        marks_of(troubles, counts, seconds) | {f"broke {kind}" for kind, _ in breaks},
     )
 
 
--- a/flaxscale/model/judge.py
+++ b/flaxscale/model/judge.py
@@ -13,7 +13,7 @@
 from ..hunt import space
 from ..hunt.marks import marks_of
 from ..hunt.search import Outcome
-from ..rules.comeback import WITHIN_S, comes_back
+from ..rules.comeback import RECOVERY_TIME_S, judge_recovery
 from .duties import SERVICE
 from .play import SECOND, Play
 
@@ -267,7 +267,7 @@
     play.run()
     first, healed = min((row.at_s for row in troubles), default=0), space.healed_at(troubles)
     plays = {s: row.fates["plays"] + row.fates["late"] for s, row in play.seconds.items()}
-    back = comes_back(plays, first, healed, day.length_s) if troubles else None
+    back = judge_recovery(plays, first, healed, day.length_s) if troubles else None
     # Deaths, claims and leases are states that a day may reach, as answers are.
     among = defaultdict(Counter)
     for time, what, *rest in play.records:
@@ -279,14 +279,14 @@
     totals = play.totals()
     counts = Counter(totals["fates"]) + Counter({f"tune-in {how}": n for how, n in totals["tune_ins"].items()})
     counts += sum(among.values(), Counter())
-    loss = 0.0 if quiet is None else max(0.0, quiet - near(play, first, healed + WITHIN_S))
+    loss = 0.0 if quiet is None else max(0.0, quiet - near(play, first, healed + RECOVERY_TIME_S))
     breaks = judge.found()
     return Outcome(
         breaks,
-        back and back.back,
+        back and back.recovered,
         round(loss, 4),
         marks_of(troubles, counts, seconds) | {f"broke {kind}" for kind, _ in breaks},
-    ), {**totals, "said": back.said if back else ""}
+    ), {**totals, "said": back.summary if back else ""}
 
 
 def day_with(day, troubles):
--- a/flaxscale/rules/audit.py
+++ b/flaxscale/rules/audit.py
@@ -13,7 +13,7 @@
 from collections import Counter, defaultdict
 from typing import NamedTuple
 
-WITNESSED = {"setup": "setup", "adopted": "claim", "ordered": "order"}
+BOX_ACTIONS = {"setup": "setup", "adopted": "claim", "ordered": "order"}
 
 
 class Finding(NamedTuple):
@@ -23,13 +23,13 @@
     detail: str
 
 
-class Judged(NamedTuple):
+class AuditResult(NamedTuple):
     findings: list
     agreed: int  # actions on which both accounts say the same
     actions: int  # that boxes saw
     stamps: dict  # (manager, life): {number: its fields}
 
-    def bad(self):
+    def violations(self):
         return [f for f in self.findings if f.what != "unknown"]
 
     def line(self):
@@ -40,34 +40,36 @@
         )
 
 
-class Own:
+class Account:
     """One life of a manager by its own account."""
 
     def __init__(self):
-        self.did, self.stamps, self.dropped, self.last, self.back = {}, {}, False, None, []
+        self.actions, self.stamps, self.dropped, self.last_number, self.regressions = {}, {}, False, None, []
 
-    def take(self, row):
+    def add(self, row):
         if row["what"] == "dropped":
             self.dropped = True
         elif row["what"] == "stamp":
             self.stamps[row["number"]] = row["stamp"]
         else:
-            if self.last is not None and row["number"] < self.last:
-                self.back.append((row["key"], row["number"], self.last))
-            self.last = max(self.last or 0, row["number"])
+            if self.last_number is not None and row["number"] < self.last_number:
+                self.regressions.append((row["key"], row["number"], self.last_number))
+            self.last_number = max(self.last_number or 0, row["number"])
             # An order may be sent again: each number under which it was counts.
-            self.did.setdefault((KINDS.get(row["kind"], row["kind"]), row["key"]), []).append(row["number"])
+            self.actions.setdefault((ACTION_OF_KIND.get(row["kind"], row["kind"]), row["key"]), []).append(
+                row["number"]
+            )
 
-    def lacks(self, number):
+    def may_lack(self, number):
         """Whether rows under this stamp may be gone: dropped, or after its end."""
-        return self.dropped or number >= (self.last or 0)
+        return self.dropped or number >= (self.last_number or 0)
 
 
-KINDS = {"end": "order", "rung": "order"}
-ONCE = {"setup"}  # claims and orders are made again under later stamps, which a lost row may tell of
+ACTION_OF_KIND = {"end": "order", "rung": "order"}
+DONE_ONCE = {"setup"}  # claims and orders are made again under later stamps, which a lost row may tell of
 
 
-def rows_of(file):
+def read_rows(file):
     out = []
     for line in file.read_bytes().split(b"\n"):
         try:
@@ -77,49 +79,49 @@
     return out
 
 
-def accounts(folder):
-    """{(manager, life): Own} of account-*.jsonl."""
+def read_accounts(folder):
+    """{(manager, life): Account} of account-*.jsonl."""
     lives = {}
     for file in sorted(folder.glob("account-*.jsonl")):
-        own = None
-        for row in rows_of(file):
+        account = None
+        for row in read_rows(file):
             if row["what"] == "life":
-                own = lives.setdefault((row["manager"], row["life"]), Own())
-            elif own is not None:
-                own.take(row)
+                account = lives.setdefault((row["manager"], row["life"]), Account())
+            elif account is not None:
+                account.add(row)
     return lives
 
 
-def witnesses(files):
-    """([(kind, manager, life, key, number)], {(manager, life): {number: [wholes]}}) of what boxes wrote.
+def read_box_actions(files):
+    """([(kind, manager, life, key, number)], {(manager, life): {number: [whole_stamps]}}) of what boxes wrote.
 
     files: {name: rows}, one a start of a box.
     """
-    seen, wholes = [], defaultdict(lambda: defaultdict(list))
+    seen, whole_stamps = [], defaultdict(lambda: defaultdict(list))
     for rows in files.values():
         for row in rows:
             if row["what"] == "stamp":
-                wholes[row["manager"], row["life"]][row["number"]].append(row["stamp"])
-            elif row["what"] in WITNESSED and row.get("manager"):
+                whole_stamps[row["manager"], row["life"]][row["number"]].append(row["stamp"])
+            elif row["what"] in BOX_ACTIONS and row.get("manager"):
                 for key in row.get("keys") or [row["key"]]:
-                    seen.append((WITNESSED[row["what"]], row["manager"], row.get("life", ""), key, row.get("stamp")))
-    return seen, wholes
+                    seen.append((BOX_ACTIONS[row["what"]], row["manager"], row.get("life", ""), key, row.get("stamp")))
+    return seen, whole_stamps
 
 
-class Holder:
+class BoxFloor:
     """A box's floor as its own rows tell it, by start after start."""
 
     def __init__(self):
         self.epoch, self.floor, self.earlier = "", 0, set()
 
-    def take(self, row):
+    def add(self, row):
         """Never lower within an epoch, whatever a later start says."""
         if row["epoch"] != self.epoch:
             self.earlier = {*self.earlier, self.epoch, *row["earlier"]} - {"", row["epoch"]}
             self.epoch, self.floor = row["epoch"], 0
         self.floor = max(self.floor, row["floor"])
 
-    def breach(self, stamp):
+    def is_below(self, stamp):
         """Whether this stamp is under the floor; None where that can't be told."""
         if not self.floor:
             return False
@@ -131,7 +133,7 @@
         return version < self.floor if epoch == self.epoch else epoch in self.earlier
 
 
-def starts_of(files):
+def box_starts(files):
     """[(box, name, rows)] of all starts of boxes, each box's in their order."""
     first = {name: next((row for row in rows if row["what"] == "start"), None) for name, rows in files.items()}
     return [
@@ -143,15 +145,15 @@
     ]
 
 
-def breaches(files, stamps):
+def floor_breaches(files, stamps):
     """Findings: what boxes let happen under their floor."""
-    out, holders = [], defaultdict(Holder)
-    for box, name, rows in starts_of(files):
-        holder, setups = holders[box], {}
+    out, floors = [], defaultdict(BoxFloor)
+    for box, name, rows in box_starts(files):
+        box_floor, setups = floors[box], {}
 
-        def look(row, kind, keys, holder=holder, at=f"box {box} ({name})"):
+        def check_action(row, kind, keys, box_floor=box_floor, at=f"box {box} ({name})"):
             stamp = stamps.get((row["manager"], row.get("life", "")), {}).get(row.get("stamp"))
-            found = holder.breach(stamp)
+            found = box_floor.is_below(stamp)
             what = "unknown" if found is None and row.get("stamp") is not None else "under floor"
             for key in keys if found is not False else ():
                 out.append(
@@ -161,61 +163,61 @@
                         key,
                         f"{kind} at {at} under stamp {row.get('stamp')}, "
                         f"catalogue {stamp and stamp['catalogue']}; "
-                        f"its floor was {holder.floor} of {holder.epoch}",
+                        f"its floor was {box_floor.floor} of {box_floor.epoch}",
                     )
                 )
 
         for row in rows:
             if row["what"] == "floor":
-                holder.take(row)
+                box_floor.add(row)
             elif row["what"] == "setup" and row.get("manager"):
                 # As the floor stood when it came: it may rise while the set-up is worked on.
-                setups[row["key"]] = row, holder.epoch, holder.floor
+                setups[row["key"]] = row, box_floor.epoch, box_floor.floor
             elif row["what"] == "answer" and row["status"] == 201 and row["key"] in setups:
                 setup, epoch, floor = setups[row["key"]]
-                if (epoch, floor) == (holder.epoch, holder.floor):
-                    look(setup, "setup", [row["key"]])
+                if (epoch, floor) == (box_floor.epoch, box_floor.floor):
+                    check_action(setup, "setup", [row["key"]])
             elif row["what"] == "adopted":
-                look(row, "claim", [row["key"]])
+                check_action(row, "claim", [row["key"]])
             elif row["what"] == "ordered":
-                look(row, "rung", row.get("rungs", ()))
+                check_action(row, "rung", row.get("rungs", ()))
     return out
 
 
-def judge(folder, own=None):
-    """Judged from the boxes' records in a folder, and the managers' accounts there or in the folder `own`."""
-    files = {file.name: rows_of(file) for file in sorted(pathlib.Path(folder).glob("box-*.jsonl"))}
-    lives, (seen, wholes) = accounts(pathlib.Path(own or folder)), witnesses(files)
+def judge(folder, account_folder=None):
+    """Compares the boxes' records in a folder with the managers' accounts there or in account_folder."""
+    files = {file.name: read_rows(file) for file in sorted(pathlib.Path(folder).glob("box-*.jsonl"))}
+    lives, (seen, whole_stamps) = read_accounts(pathlib.Path(account_folder or folder)), read_box_actions(files)
     findings, agreed, stamps = [], 0, {}
-    for manager, life in sorted({*lives, *wholes}):
-        own = lives.get((manager, life))
-        told = {n: rows for n, rows in wholes.get((manager, life), {}).items()}
+    for manager, life in sorted({*lives, *whole_stamps}):
+        account = lives.get((manager, life))
+        told = {n: rows for n, rows in whole_stamps.get((manager, life), {}).items()}
         for number, rows in sorted(told.items()):
-            said = [*rows, *([own.stamps[number]] if own and number in own.stamps else [])]
+            said = [*rows, *([account.stamps[number]] if account and number in account.stamps else [])]
             if any(one != said[0] for one in said):
                 findings.append(Finding("contradiction", manager, f"stamp {number}", f"told in two ways: {said[:2]}"))
-        stamps[manager, life] = {**{n: rows[0] for n, rows in told.items()}, **(own.stamps if own else {})}
-        for key, number, before in own.back if own else ():
+        stamps[manager, life] = {**{n: rows[0] for n, rows in told.items()}, **(account.stamps if account else {})}
+        for key, number, before in account.regressions if account else ():
             findings.append(Finding("back", manager, key, f"done under stamp {number} after {before} in life {life}"))
-    findings += breaches(files, stamps)
+    findings += floor_breaches(files, stamps)
     for kind, manager, life, key, number in seen:
-        own = lives.get((manager, life))
+        account = lives.get((manager, life))
         if number is None:
             findings.append(Finding("no stamp", manager, key, f"{kind} of life {life or '?'} came without one"))
-        elif own is None:
+        elif account is None:
             findings.append(Finding("unknown", manager, key, f"{kind} under stamp {number}; no account of life {life}"))
-        elif number in own.did.get((kind, key), ()):
+        elif number in account.actions.get((kind, key), ()):
             agreed += 1
-        elif (kind, key) in own.did and (kind in ONCE or not own.lacks(number)):
+        elif (kind, key) in account.actions and (kind in DONE_ONCE or not account.may_lack(number)):
             findings.append(
                 Finding(
                     "contradiction",
                     manager,
                     key,
-                    f"{kind} under stamp {number} by its box, under {own.did[kind, key]} by the manager",
+                    f"{kind} under stamp {number} by its box, under {account.actions[kind, key]} by the manager",
                 )
             )
-        elif own.lacks(number):
+        elif account.may_lack(number):
             findings.append(
                 Finding(
                     "unknown",
@@ -228,4 +230,4 @@
             findings.append(
                 Finding("contradiction", manager, key, f"{kind} under stamp {number} by its box, none by the manager")
             )
-    return Judged(findings, agreed, len(seen), stamps)
+    return AuditResult(findings, agreed, len(seen), stamps)
--- a/flaxscale/rules/check.py
+++ b/flaxscale/rules/check.py
@@ -1,6 +1,6 @@
 """Judges the six rules from records of sockets alone; it believes nothing that a manager says of itself.
 
-Times are tenths of a millisecond of the machine's monotonic clock. SLACK is what two sockets of one machine may
+Times are tenths of a millisecond of the machine's monotonic clock. SOCKET_SLACK is what two sockets of one machine may
 differ by when a manager closes one connection and opens the next in the same instant.
 """
 
@@ -9,8 +9,8 @@
 
 from .records import read
 
-SLACK = 500
-FINAL = ("plays", "blocked", "aborted", "refused")
+SOCKET_SLACK = 500
+ANSWER_FATES = ("plays", "blocked", "aborted", "refused")
 RULES = (
     "no viewing is lost",
     "no set-up happens twice",
@@ -51,21 +51,25 @@
     )
 
 
-def within(spans, at):
+def in_any_span(spans, at):
     return any(a <= at <= b for a, b in spans)
 
 
-def sent_at(records, t):
+def earliest_sent_at(records, t):
     """The earliest that a set-up may have been sent: its box saw it then, or at the end of what hid it."""
     return min(
         [
             t.at,
-            *(since for since, until in records.hidden.get((t.manager, t.box), ()) if since <= t.at <= until + SLACK),
+            *(
+                since
+                for since, until in records.hidden.get((t.manager, t.box), ())
+                if since <= t.at <= until + SOCKET_SLACK
+            ),
         ]
     )
 
 
-def surely_out(records, t):
+def certainly_open_until(records, t):
     """Until when its manager surely had it out: a fault between both may hide an answer, or that it was given up."""
     return min(
         [
@@ -73,7 +77,7 @@
             *(
                 max(t.at, since)
                 for since, until in records.hidden.get((t.manager, t.box), ())
-                if since <= t.out_until and t.at <= until + SLACK
+                if since <= t.out_until and t.at <= until + SOCKET_SLACK
             ),
         ]
     )
@@ -85,15 +89,17 @@
     for a in records.asked:
         due = a.at + a.patience
         kills = records.kills.get(a.manager, ())
-        died = any(a.at - SLACK <= killed <= min(a.seen_at, due) + SLACK for killed, _ in kills) or within(kills, a.at)
+        died = any(
+            a.at - SOCKET_SLACK <= killed <= min(a.seen_at, due) + SOCKET_SLACK for killed, _ in kills
+        ) or in_any_span(kills, a.at)
         # One that goes on a moment before the patience ends has read nothing by then.
-        stood = within([(since, on + SLACK) for since, on in records.stalls.get(a.manager, ())], due)
+        stood = in_any_span([(since, on + SOCKET_SLACK) for since, on in records.stalls.get(a.manager, ())], due)
         if a.fate in ("left", "unreached", "sent_on") or (a.fate is None and due > records.end):
             continue  # not owed: the client went, or nobody took the request
-        if a.fate not in FINAL and (died or stood):
+        if a.fate not in ANSWER_FATES and (died or stood):
             continue
         requests += 1
-        if a.fate not in FINAL:
+        if a.fate not in ANSWER_FATES:
             breaks.append(Break(1, a.at, f"request {a.n} at {a.manager}: {a.fate or 'no answer was seen'}"))
         elif a.seen_at - a.at > a.patience:
             breaks.append(Break(1, a.at, f"request {a.n} at {a.manager}: answered after its patience"))
@@ -108,26 +114,26 @@
     """Never two tune-ins out; no second set-up of an unsafe package, nor a block, once one may have run."""
     breaks, by_trace = [], defaultdict(list)
     effects = {name: row["effect"] for name, row in records.site["packages"].items()}
-    fates = {a.trace: a for a in records.asked}
+    request_by_trace = {a.trace: a for a in records.asked}
     for t in records.tune_ins:
         if any(two[2] <= one[2] for one, two in zip(t.claims, t.claims[1:])):
             breaks.append(Break(2, t.claims[-1][0], f"{t.key}: taken over twice under one epoch: {t.claims}"))
         by_trace[t.trace].append(t)
-    breaks += under_one_key(records, by_trace, effects)
+    breaks += unsafe_under_one_key(records, by_trace, effects)
     for trace, made in by_trace.items():
         for one, two in zip(made, made[1:]):
-            if two.at + SLACK < surely_out(records, one):
+            if two.at + SOCKET_SLACK < certainly_open_until(records, one):
                 breaks.append(Break(2, two.at, f"{trace}: two tune-ins out, {one.key} and {two.key}"))
             # `ran` is False only where the answer said that it never ran.
             if effects.get(two.package) == "unsafe" and one.ran:
                 breaks.append(Break(2, two.at, f"{trace}: {two.key} after {one.key}, which may have run"))
-        asked = fates.get(trace)
+        asked = request_by_trace.get(trace)
         if asked and asked.fate == "blocked" and effects.get(made[-1].package) == "unsafe" and any(t.ran for t in made):
             breaks.append(Break(2, asked.at, f"{trace}: blocked although {made[-1].key} may have run"))
     return breaks
 
 
-def under_one_key(records, by_trace, effects):
+def unsafe_under_one_key(records, by_trace, effects):
     """An unsafe set-up that began while another of its client's key stood, whichever managers were asked."""
     made, breaks = defaultdict(list), []
     for a in records.asked:
@@ -138,7 +144,7 @@
     for key, rows in made.items():
         rows = sorted(set(rows), key=lambda t: t.at)
         for one, two in zip(rows, rows[1:]):
-            if two.at + SLACK < one.freed_at:
+            if two.at + SOCKET_SLACK < one.freed_at:
                 breaks.append(Break(2, two.at, f"{two.key} under the client's key {key} while {one.key} stood"))
     return breaks
 
@@ -152,7 +158,7 @@
     events = sorted(
         [(at, 0, ("told", m, kind, boxes)) for at, m, kind, boxes in records.told]
         + [(killed, 0, ("kill", m, None, None)) for m, s in records.kills.items() for killed, _ in s]
-        + [(sent_at(records, t), 1, ("tune-in", t, None, None)) for t in records.tune_ins],
+        + [(earliest_sent_at(records, t), 1, ("tune-in", t, None, None)) for t in records.tune_ins],
         key=lambda e: e[:2],
     )
     for at, _, (what, who, kind, boxes) in events:
@@ -173,7 +179,7 @@
             known[who] |= named
         else:
             since = bad_since[who.manager].get(who.box)
-            if since is not None and at > since + grace + SLACK:
+            if since is not None and at > since + grace + SOCKET_SLACK:
                 breaks.append(
                     Break(
                         3,
@@ -216,13 +222,13 @@
     """Versions that a manager may have gone by for what arrived at this time; None: unknown, nothing is judged."""
     for killed, _ in records.kills.get(manager, ()):
         if killed <= at:  # whoever came back began with what it had kept: only what it took since then counts
-            acks = [v for a, v in records.catalogue.acks.get(manager, ()) if killed < a <= at - SLACK]
+            acks = [v for a, v in records.catalogue.acks.get(manager, ()) if killed < a <= at - SOCKET_SLACK]
             if not acks:
                 return None
-    return records.catalogue.known(manager, at - SLACK, at + SLACK)
+    return records.catalogue.version_range(manager, at - SOCKET_SLACK, at + SOCKET_SLACK)
 
 
-def seats_then(records, manager, t, at):
+def most_seats(records, manager, t, at):
     """The most seats of a set-up's title that a manager may have gone by at a time; None where that can't be known."""
     usual = records.site["packages"][t.package]["seats"]
     if records.catalogue is None:
@@ -231,11 +237,12 @@
     if known is None:
         return None
     return max(
-        (title or {"seats": {}})["seats"].get(t.package, usual) for title in records.catalogue.between(t.title, *known)
+        (title or {"seats": {}})["seats"].get(t.package, usual)
+        for title in records.catalogue.titles_between(t.title, *known)
     )
 
 
-def lives(since, until, kills):
+def running_spans(since, until, kills):
     """Spans of [since, until] in which the manager ran. What a killed one left plays on under its name, and counts
     again from its return: claimed by then or not, it takes one of its seats."""
     spans = []
@@ -267,13 +274,13 @@
             spans = [(t.at, t.manager), *t.taken]
             for n, (since, manager) in enumerate(spans):
                 until = min([t.freed_at, *(at for at, _ in spans[n + 1 : n + 2])])
-                for begun, over in lives(since, until, records.kills.get(manager, ())):
-                    held[manager, t.title, t.package] += [(begun, 1, t), (max(begun, over - SLACK), -1, t)]
+                for begun, over in running_spans(since, until, records.kills.get(manager, ())):
+                    held[manager, t.title, t.package] += [(begun, 1, t), (max(begun, over - SOCKET_SLACK), -1, t)]
     for (manager, title, package), changes in held.items():
         count = 0
         for at, change, t in sorted(changes, key=lambda row: row[:2]):
             count += change
-            if change > 0 and (seats := seats_then(records, manager, t, at)) is not None and count > seats:
+            if change > 0 and (seats := most_seats(records, manager, t, at)) is not None and count > seats:
                 breaks.append(Break(5, at, f"{manager} holds {count} of {title!r} in {package}, seats {seats}"))
                 break
     if records.catalogue is not None:
@@ -288,7 +295,7 @@
         known = known_versions(records, t.manager, t.at)
         if known is None:
             continue
-        rows = records.catalogue.between(t.title, *known)
+        rows = records.catalogue.titles_between(t.title, *known)
         if not any(row and row["holders"].get(str(t.box)) == "holding" for row in rows):
             breaks.append(Break(5, t.at, f"{t.key}: box {t.box} does not hold {t.title!r} in versions {known}"))
     return breaks
@@ -313,7 +320,7 @@
             # An instance counts from its start: whoever comes back knows of nothing that it made before.
             born = max((killed for killed, _ in records.kills.get(manager, ()) if killed < at), default=0)
             count = sum(1 for other in times[: n + 1] if other > max(born, at - span))
-            took = sum(1 for other in taken[manager] if max(born, at - span - SLACK) < other <= at)
+            took = sum(1 for other in taken[manager] if max(born, at - span - SOCKET_SLACK) < other <= at)
             if count > further["free"] + further["share"] * took:
                 breaks.append(
                     Break(
--- a/flaxscale/rules/comeback.py
+++ b/flaxscale/rules/comeback.py
@@ -2,9 +2,9 @@
 
 A fleet may stay bad after what made it bad is gone, kept there by its own retries or by what it believes (N. Bronson,
 A. Aghayev, A. Charapko and T. Zhu, "Metastable Failures in Distributed Systems", HotOS 2021). Judged by goodput,
-viewings that begin a second, against what it was before the first fault, at the same demand: WITHIN_S after the last
-one healed it must be back at PART of that, for the rest of the day. Counts are small, so that chance alone is allowed
-for: three times the root of what was expected.
+viewings that begin a second, against what it was before the first fault, at the same demand: RECOVERY_TIME_S after
+the last one healed it must be back at RECOVERED_SHARE of that, for the rest of the day. Counts are small, so that
+chance alone is allowed for: three times the root of what was expected.
 """
 
 import json
@@ -12,49 +12,49 @@
 import pathlib
 from collections import Counter
 
-from .records import RecordError, rows_of
+from .records import RecordError, read_rows
 
-WITHIN_S, PART = 6.0, 0.85
-FEWEST = 20  # viewings that begin in a span that says anything
+RECOVERY_TIME_S, RECOVERED_SHARE = 6.0, 0.85
+MIN_VIEWINGS = 20  # viewings that begin in a span that says anything
 
 
-class Back:
+class Recovery:
     """back: True, False, or None where the day can't tell; before, after: goodput a second; said: in words."""
 
-    def __init__(self, back, before, after, said):
-        self.back, self.before, self.after, self.said = back, before, after, said
+    def __init__(self, recovered, before, after, summary):
+        self.recovered, self.before, self.after, self.summary = recovered, before, after, summary
 
 
-def comes_back(plays, first_s, healed_s, length_s, rates=None):
+def judge_recovery(plays, first_s, healed_s, length_s, rates=None):
     """plays: {second: viewings that began}. first_s, healed_s: when faults began and had healed, in seconds of the day.
 
     rates: {second: new viewings asked for}, where demand is not the same all day.
     """
     quiet = [s for s in range(1, int(first_s))]
-    after = [s for s in range(math.ceil(healed_s + WITHIN_S), int(length_s))]
+    after = [s for s in range(math.ceil(healed_s + RECOVERY_TIME_S), int(length_s))]
     wanted = rates or dict.fromkeys(range(int(length_s) + 1), 1)
     asked = [sum(wanted.get(s, 0) for s in span) for span in (quiet, after)]
     came = [sum(plays.get(s, 0) for s in span) for span in (quiet, after)]
-    if not all(asked) or came[0] < FEWEST:
-        return Back(None, 0.0, 0.0, "too little before the first fault or after the last one to tell")
+    if not all(asked) or came[0] < MIN_VIEWINGS:
+        return Recovery(None, 0.0, 0.0, "too little before the first fault or after the last one to tell")
     expected = came[0] / asked[0] * asked[1]
     before, now = came[0] / len(quiet), came[1] / len(after)
     # Both counts vary by chance, the one from before as well.
     spread = 3 * math.sqrt(expected + came[0] * (asked[1] / asked[0]) ** 2)
-    back = came[1] >= PART * expected - spread
-    said = (
-        f"{now:.1f} viewings begin a second from {WITHIN_S:g} s after the last fault healed, {before:.1f} before "
-        f"the first one; {PART * expected / len(after):.1f} expected"
+    recovered = came[1] >= RECOVERED_SHARE * expected - spread
+    summary = (
+        f"{now:.1f} viewings begin a second from {RECOVERY_TIME_S:g} s after the last fault healed, "
+        f"{before:.1f} before the first one; {RECOVERED_SHARE * expected / len(after):.1f} expected"
     )
-    return Back(back, before, now, said)
+    return Recovery(recovered, before, now, summary)
 
 
-def of_day(folder):
-    """The same from a day's records: a Back, or None where nothing struck it. RecordError: they can't be read."""
+def judge_day(folder):
+    """The same from a day's records: a Recovery, or None where nothing struck it. RecordError: they can't be read."""
     folder = pathlib.Path(folder)
     try:
         length = json.loads((folder / "day.json").read_text()).get("length_s")
-        lab, clients = rows_of(folder / "lab.jsonl"), rows_of(folder / "clients.jsonl")
+        lab, clients = read_rows(folder / "lab.jsonl"), read_rows(folder / "clients.jsonl")
     except (OSError, ValueError) as bad:
         raise RecordError(f"{folder}: {bad}") from None
     began = next((r["at"] for r in lab if r["what"] == "begin"), None)
@@ -77,4 +77,4 @@
     )
     plays = Counter(int(second(r["at"])) for r in clients if r["what"] == "seen" and r["fate"] == "plays")
     # Who comes again is no new demand; the players' own end is after the last of it.
-    return comes_back(plays, min(second(r["at"]) for r in struck), healed, min(length or end, end))
+    return judge_recovery(plays, min(second(r["at"]) for r in struck), healed, min(length or end, end))
--- a/flaxscale/rules/duties.py
+++ b/flaxscale/rules/duties.py
@@ -13,21 +13,24 @@
 from collections import defaultdict
 
 from .check import Break
-from .records import rows_of
+from .records import read_rows
 
 NAMES = {9: "one at a time", 10: "done again"}
-DETECTION, ASKING = 60_000, 60_000  # a death is known to all; an asking that was just refused, and its answer
+DETECTION_TIME, REQUEST_TIME = (
+    60_000,
+    60_000,
+)  # a death is known to all; an asking that was just refused, and its answer
 
 
 def duties(folder):
     """Breaks, with the numbers of NAMES; none where no duty was on."""
     folder = pathlib.Path(folder)
-    lab = rows_of(folder / "lab.jsonl")
-    service = rows_of(folder / "catalogue.jsonl") if (folder / "catalogue.jsonl").exists() else []
+    lab = read_rows(folder / "lab.jsonl")
+    service = read_rows(folder / "catalogue.jsonl") if (folder / "catalogue.jsonl").exists() else []
     resources = {"the service": [r for r in service if r["what"] == "lease"]}
     for file in sorted(folder.glob("box-*.jsonl")):
         box = file.stem.split("-")[1]
-        resources.setdefault(f"box {box}", []).extend(r for r in rows_of(file) if r["what"] == "lease")
+        resources.setdefault(f"box {box}", []).extend(r for r in read_rows(file) if r["what"] == "lease")
     breaks = []
     for name, rows in resources.items():
         breaks += one_at_a_time(name, sorted((r for r in rows if r["did"] == "act"), key=lambda r: r["at"]))
@@ -49,7 +52,7 @@
     return breaks
 
 
-def away(lab, service):
+def outage_spans(lab, service):
     """Spans in which the service could grant nothing: until its start counts as over."""
     starts = [(r["at"], r["opens"]) for r in service if r["what"] == "leases"]
     spans = [(at, at + opens) for at, opens in starts[1:]]
@@ -63,7 +66,7 @@
     return spans
 
 
-def covered(spans, first, last):
+def covered_time(spans, first, last):
     """How much of first to last lies in any of the spans."""
     total, at = 0, first
     for began, ended in sorted(spans):
@@ -81,16 +84,16 @@
             acts[r["piece"]].append(r)
     end = next((r["at"] for r in lab if r["what"] == "end"), 0)
     kills = [(r["at"], r["manager"]) for r in lab if r["what"] == "kill" and "manager" in r]
-    spans, breaks = away(lab, service), []
+    spans, breaks = outage_spans(lab, service), []
     for at, manager in kills:
         for piece, done in acts.items():
             before = [r for r in done if r["at"] <= at]
             if not before or piece not in figures or before[-1]["owner"].split(".")[0] != manager:
                 continue
             task = figures[piece]
-            most = round(task["span"] * (1 + task["drift"])) + task["period"] + DETECTION + ASKING
+            most = round(task["span"] * (1 + task["drift"])) + task["period"] + DETECTION_TIME + REQUEST_TIME
             following = next((r["at"] for r in done if r["at"] > at), end)
-            late = following - at - covered(spans, at, following) - most
+            late = following - at - covered_time(spans, at, following) - most
             if late > 0 and following <= end:
                 breaks.append(
                     Break(
--- a/flaxscale/rules/promises.py
+++ b/flaxscale/rules/promises.py
@@ -13,76 +13,79 @@
 import pathlib
 from collections import defaultdict
 
-from .check import SLACK, Break
-from .records import FAR, hidden_spans, rows_of
+from .check import SOCKET_SLACK, Break
+from .records import NEVER, read_rows, unobservable_spans
 
 NAMES = {7: "taken up once", 8: "no orphan"}
-MORE = 50_000  # detection of a death, claims, and a box's own turns
+END_ALLOWANCE = 50_000  # detection of a death, claims, and a box's own turns
 
 
-def limit(site):
+def orphan_limit(site):
     """How long a session may stand for nobody: what ends it last is its box's own, by media or lease."""
     fleet = site.get("fleet", {})
-    return round(10 * max(fleet.get("media_ms", 30_000), fleet.get("lease_ms", 4_000))) + MORE
+    return round(10 * max(fleet.get("media_ms", 30_000), fleet.get("lease_ms", 4_000))) + END_ALLOWANCE
 
 
-class Stood:
+class BoxSession:
     """One session as its box's records have it."""
 
     __slots__ = "key", "trace", "box", "begun", "over", "ufrag", "claims"
 
     def __init__(self, key, trace, box):
         self.key, self.trace, self.box, self.claims = key, trace, box, []
-        self.begun, self.over, self.ufrag = None, FAR, None
+        self.begun, self.over, self.ufrag = None, NEVER, None
 
 
 def promises(folder):
     """Breaks, with the numbers of NAMES. Records of a build that does not say when a session begins have none."""
     folder = pathlib.Path(folder)
     site = json.loads((folder / "day.json").read_text())["site"]
-    lab, clients = rows_of(folder / "lab.jsonl"), rows_of(folder / "clients.jsonl")
+    lab, clients = read_rows(folder / "lab.jsonl"), read_rows(folder / "clients.jsonl")
     end = next((r["at"] for r in lab if r["what"] == "end"), 0)
     killed = [(r["at"], r["box"]) for r in lab if r["what"] == "kill" and "box" in r]
     managers = [f"m{n}" for n in range(site.get("managers", 1))]
-    blind = defaultdict(list)
-    for (_, box), spans in hidden_spans(lab, managers).items():
-        blind[box] += spans
-    stood = []
+    unreachable = defaultdict(list)
+    for (_, box), spans in unobservable_spans(lab, managers).items():
+        unreachable[box] += spans
+    sessions = []
     for file in sorted(folder.glob("box-*.jsonl")):
-        stood += sessions(rows_of(file), killed, blind)
-    breaks = taken_up_twice(stood, clients)
-    wanted, waited = wishes(clients)
-    for s in stood:
-        if s.begun is None:
+        sessions += read_sessions(read_rows(file), killed, unreachable)
+    breaks = taken_up_twice(sessions, clients)
+    wanted, last_try_over = wanted_until(clients)
+    for session in sessions:
+        if session.begun is None:
             continue
-        until = wanted.get(s.ufrag) if s.ufrag in wanted else waited(s.trace)
-        if until is None or until == FAR:
+        until = wanted.get(session.ufrag) if session.ufrag in wanted else last_try_over(session.trace)
+        if until is None or until == NEVER:
             continue
-        until = max(until, s.begun)
-        due = until + limit(site) + hidden(blind[s.box], until, min(s.over, end))
-        if min(s.over, end) > due + SLACK:
+        until = max(until, session.begun)
+        due = until + orphan_limit(site) + covered_time(unreachable[session.box], until, min(session.over, end))
+        if min(session.over, end) > due + SOCKET_SLACK:
             breaks.append(
                 Break(
-                    8, until, f"{s.key} at box {s.box} stood for nobody for {(min(s.over, end) - until) / 10_000:.1f} s"
+                    8,
+                    until,
+                    f"{session.key} at box {session.box} stood for nobody for "
+                    f"{(min(session.over, end) - until) / 10_000:.1f} s",
                 )
             )
     return sorted(breaks, key=lambda b: (b.rule, b.at))
 
 
-def sessions(rows, killed, blind):
-    """The sessions of one start of a box; spans in which it hung are added to blind."""
+def read_sessions(rows, killed, unreachable):
+    """The sessions of one start of a box; spans in which it hung are added to unreachable."""
     box, found, hung = None, {}, None
     for row in rows:
         what, key = row["what"], row.get("key")
         if what == "start":
             box, began = row["box"], row["at"]
         elif what == "setup":
-            found[key] = Stood(key, row["trace"] or key, box)
+            found[key] = BoxSession(key, row["trace"] or key, box)
         elif what == "trouble" and row["name"] == "hang":
             if row["value"]:
                 hung = row["at"]
             elif hung is not None:
-                blind[box].append((hung, row["at"]))
+                unreachable[box].append((hung, row["at"]))
                 hung = None
         elif key not in found:
             continue
@@ -96,16 +99,16 @@
             found[key].claims.append((row["at"], row["manager"], row["epoch"]))
     dead = min(
         [r["at"] for r in rows if r["what"] == "dead"] + [at for at, b in killed if b == box and at >= began],
-        default=FAR,
+        default=NEVER,
     )
     if hung is not None:
-        blind[box].append((hung, dead))
-    for s in found.values():
-        s.over = min(s.over, dead)
+        unreachable[box].append((hung, dead))
+    for session in found.values():
+        session.over = min(session.over, dead)
     return list(found.values())
 
 
-def wishes(clients):
+def wanted_until(clients):
     """({ufrag: until when its player wanted it}, waited(trace): when the last try for that viewing was over)."""
     asked = {r["n"]: r for r in clients if r["what"] == "asked"}
     held = {r["n"]: r["at"] for r in clients if r["what"] == "held"}
@@ -114,14 +117,14 @@
     for n, row in asked.items():
         group = row.get("key") or row["trace"]
         of_trace[row["trace"]] = group
-        tries[group].append(seen[n]["at"] if n in seen else FAR)
+        tries[group].append(seen[n]["at"] if n in seen else NEVER)
         got = seen.get(n, {})
         if got.get("fate") == "plays" and got.get("ufrag"):
-            wanted[got["ufrag"]] = max(wanted.get(got["ufrag"], 0), held.get(n, FAR))
+            wanted[got["ufrag"]] = max(wanted.get(got["ufrag"], 0), held.get(n, NEVER))
     return wanted, lambda trace: max(tries[of_trace[trace]]) if trace in of_trace else None
 
 
-def hidden(spans, since, until):
+def covered_time(spans, since, until):
     """How much of a time lies in any of these spans."""
     total, at = 0, since
     for a, b in sorted(spans):
@@ -131,13 +134,15 @@
     return total
 
 
-def taken_up_twice(stood, clients):
+def taken_up_twice(sessions, clients):
     breaks, viewers = [], {}
-    for s in stood:
+    for session in sessions:
         granted = {}
-        for at, manager, epoch in s.claims:
+        for at, manager, epoch in session.claims:
             if granted.setdefault(epoch, manager) != manager:
-                breaks.append(Break(7, at, f"{s.key}: {granted[epoch]} and {manager} hold it under epoch {epoch}"))
+                breaks.append(
+                    Break(7, at, f"{session.key}: {granted[epoch]} and {manager} hold it under epoch {epoch}")
+                )
     asked = {r["n"]: r.get("key") or r["trace"] for r in clients if r["what"] == "asked"}
     for row in clients:
         if row["what"] == "seen" and row.get("fate") == "plays" and row.get("ufrag") and row["n"] in asked:
--- a/flaxscale/rules/records.py
+++ b/flaxscale/rules/records.py
@@ -4,14 +4,14 @@
 import pathlib
 from typing import NamedTuple
 
-FAR = 1 << 62
+NEVER = 1 << 62
 
 
 class RecordError(Exception):
     """file, line and what is wrong there."""
 
 
-class Asked(NamedTuple):
+class ClientRequest(NamedTuple):
     n: int
     at: int
     manager: str
@@ -48,7 +48,7 @@
         return [(at, manager) for at, manager, _ in self.claims]
 
 
-class Start(NamedTuple):
+class BoxStart(NamedTuple):
     """One start of a box."""
 
     box: int
@@ -68,16 +68,16 @@
     kills: dict  # manager: [(killed, back)]
     stalls: dict  # manager: [(stopped, went on)]
     end: int
-    catalogue: object  # a Versions, or None where the day had none
+    catalogue: object  # a CatalogueHistory, or None where the day had none
     hidden: dict  # (manager, box): [(since, until)] in which one's doings reach the other late or never
 
 
-class Versions:
+class CatalogueHistory:
     """What the catalogue said of titles, version by version; what each watcher was told, and said that it took."""
 
-    def __init__(self, rows, handed=False):
-        """handed: managers may hand each other what one of them was told."""
-        self.titles, self.acks, self.told, self.handed = {}, {}, {}, handed
+    def __init__(self, rows, shared=False):
+        """shared: managers may hand each other what one of them was told."""
+        self.titles, self.acks, self.told, self.shared = {}, {}, {}, shared
         for row in rows:
             if row["what"] == "version":
                 for name, title in row["titles"].items():
@@ -87,25 +87,25 @@
             elif row["what"] == "told":
                 self.told.setdefault(row["watcher"], []).append((row["at"], row["version"]))
 
-    def known(self, manager, since, until):
+    def version_range(self, manager, since, until):
         """Versions that a manager may go by: from the last it had said before that it took, to the last it was told.
 
         Between being told and saying so it may go by either. None where it had said nothing before: it may have come
         with anything.
         """
         before = [v for at, v in self.acks.get(manager, ()) if at <= since]
-        by = [rows for name, rows in self.told.items() if name == manager or self.handed and name[0] == "m"]
+        by = [rows for name, rows in self.told.items() if name == manager or self.shared and name[0] == "m"]
         told = [v for rows in by for at, v in rows if at <= until]
         return (before[-1], max([before[-1], *told])) if before else None
 
-    def between(self, name, first, last):
+    def titles_between(self, name, first, last):
         """What the title was in any version from first to last; None in it where it was not there."""
         rows = self.titles.get(name, {})
         start = max((v for v in rows if v <= first), default=None)
         return [rows[start] if start is not None else None] + [rows[v] for v in rows if first < v <= last]
 
 
-def rows_of(file):
+def read_rows(file):
     """The rows of a file; a torn last line of a killed process is passed over, any other bad line is an error."""
     text = file.read_bytes()
     lines = text.split(b"\n")
@@ -130,10 +130,10 @@
     folder = pathlib.Path(folder)
     try:
         day = json.loads((folder / "day.json").read_text())
-        site = laxer(day["site"], day.get("after"))
-        clients = rows_of(folder / "clients.jsonl")
-        told = rows_of(folder / "boxlist.jsonl")
-        lab = rows_of(folder / "lab.jsonl")
+        site = relaxed_site(day["site"], day.get("after"))
+        clients = read_rows(folder / "clients.jsonl")
+        told = read_rows(folder / "boxlist.jsonl")
+        lab = read_rows(folder / "lab.jsonl")
     except OSError as bad:
         raise RecordError(f"{bad.filename}: can't be read: {bad.strerror}") from None
     except (ValueError, KeyError) as bad:
@@ -141,33 +141,33 @@
     files = sorted(folder.glob("box-*.jsonl"))
     if not files:
         raise RecordError(f"{folder}: no box-*.jsonl")
-    end = next((r["at"] for r in lab if r["what"] == "end"), FAR)
+    end = next((r["at"] for r in lab if r["what"] == "end"), NEVER)
     killed_boxes = [(r["at"], r["box"]) for r in lab if r["what"] == "kill" and "box" in r]
     tune_ins, starts = [], []
     for file in files:
-        start, made = read_box(file, rows_of(file), killed_boxes)
+        start, made = read_box(file, read_rows(file), killed_boxes)
         starts.append(start)
         tune_ins += made
     # A viewer's own DELETE, answered, frees its seat at once, however late its box hears of it.
     deleted = {r["trace"]: r["at"] for r in clients if r["what"] == "deleted"}
-    tune_ins = [t._replace(freed_at=max(t.at, min(t.freed_at, deleted.get(t.trace, FAR)))) for t in tune_ins]
+    tune_ins = [t._replace(freed_at=max(t.at, min(t.freed_at, deleted.get(t.trace, NEVER)))) for t in tune_ins]
     return Records(
         site,
         read_clients(folder / "clients.jsonl", clients),
         sorted(tune_ins, key=lambda t: t.at),
         starts,
         [(r["at"], r["manager"], r["kind"], [tuple(b) for b in r["boxes"]]) for r in told if r["what"] == "told"],
-        spans(lab, "kill", "back"),
-        spans(lab, "stall", "go_on"),
+        manager_spans(lab, "kill", "back"),
+        manager_spans(lab, "stall", "go_on"),
         end,
-        Versions(rows_of(folder / "catalogue.jsonl"), day["site"].get("allowed", {}).get("peers", False))
+        CatalogueHistory(read_rows(folder / "catalogue.jsonl"), day["site"].get("allowed", {}).get("peers", False))
         if (folder / "catalogue.jsonl").exists()
         else None,
-        hidden_spans(lab, [f"m{n}" for n in range(day["site"].get("managers", 1))]),
+        unobservable_spans(lab, [f"m{n}" for n in range(day["site"].get("managers", 1))]),
     )
 
 
-def laxer(site, after):
+def relaxed_site(site, after):
     """What binds on a day on which settings changed: of each rule's figure the laxer, as either may be in force."""
     if not after:
         return site
@@ -193,20 +193,20 @@
     return {**site, "rules": rules, "packages": packages}
 
 
-def spans(lab, begin, finish):
+def manager_spans(lab, begin, finish):
     out = {}
     for row in lab:
         if row["what"] == begin and "manager" in row:
             known = out.setdefault(row["manager"], [])
-            if known and known[-1][1] == FAR:  # struck again before it was back
+            if known and known[-1][1] == NEVER:  # struck again before it was back
                 known[-1] = known[-1][0], row["at"]
-            known.append((row["at"], FAR))
+            known.append((row["at"], NEVER))
         elif row["what"] == finish and out.get(row.get("manager")):
             out[row["manager"]][-1] = (out[row["manager"]][-1][0], row["at"])
     return out
 
 
-def hidden_spans(lab, managers):
+def unobservable_spans(lab, managers):
     """Spans of faults on the way between a manager and a box, in either direction, and of a box that stood still.
 
     What was sent in one is seen by the box at its end: the sockets' records can't tell when it was sent, or given up.
@@ -224,7 +224,7 @@
                 if pair(way):
                     spans = out.setdefault(pair(way), [])
                     open_faults[row["n"], way] = len(spans)
-                    spans.append((row["at"], FAR))
+                    spans.append((row["at"], NEVER))
         elif row["what"] == "heal":
             for way in row["ways"]:
                 if pair(way) and (n := open_faults.pop((row["n"], way), None)) is not None:
@@ -233,7 +233,7 @@
             for manager in managers:
                 spans = out.setdefault((manager, row["box"]), [])
                 if row["what"] == "box_stall":
-                    spans.append((row["at"], FAR))
+                    spans.append((row["at"], NEVER))
                     open_faults["stall", manager, row["box"]] = len(spans) - 1
                 else:
                     n = open_faults.pop(("stall", manager, row["box"]))
@@ -252,7 +252,7 @@
         if row["what"] == "asked":
             got = seen.get(row["n"])
             out.append(
-                Asked(
+                ClientRequest(
                     row["n"],
                     row["at"],
                     row["manager"],
@@ -262,7 +262,7 @@
                     row["patience"],
                     got and got["fate"],
                     got["status"] if got else 0,
-                    got["at"] if got else FAR,
+                    got["at"] if got else NEVER,
                     row.get("key"),
                 )
             )
@@ -277,7 +277,7 @@
     box = first["box"]
     dead = min(
         [r["at"] for r in rows if r["what"] == "dead"] + [at for at, b in killed if b == box and at >= first["at"]],
-        default=FAR,
+        default=NEVER,
     )
     fell = next((r["at"] for r in rows if r["what"] == "fell"), None)
     made = {}
@@ -329,4 +329,4 @@
         )
         for key, m in made.items()
     ]
-    return Start(box, first["at"], first["up"], first["slots"], fell, dead), out
+    return BoxStart(box, first["at"], first["up"], first["slots"], fell, dead), out
--- a/tests/test_among.py
+++ b/tests/test_among.py
@@ -127,7 +127,7 @@
             out = pathlib.Path(folder) / "out"
             done = flaxscale("day", str(file), "--seed", "3", "--out", str(out))
             self.assertEqual(0, done.returncode, done.stdout + done.stderr)
-            self.assertEqual([], judge_accounts(out).bad())
+            self.assertEqual([], judge_accounts(out).violations())
             by_processes = self.of_processes(out)
             play = Play(read_day(str(file), sockets=False), 3)
             judge = Judge(play)
--- a/tests/test_hunt.py
+++ b/tests/test_hunt.py
@@ -17,7 +17,7 @@
 from flaxscale.lab.hunts import Hunting
 from flaxscale.lab.shapes import TroubleRow, faults, read_day
 from flaxscale.model import judge
-from flaxscale.rules.comeback import comes_back, of_day
+from flaxscale.rules.comeback import judge_day, judge_recovery
 from tests.test_day import ROOT, Played, flaxscale
 
 FOUND = pathlib.Path(__file__).parent / "hunted"
@@ -103,12 +103,12 @@
 class Comeback(unittest.TestCase):
     def test_a_fleet_that_stays_down_is_told_from_one_that_comes_back_and_from_chance(self):
         steady = dict.fromkeys(range(30), 40)
-        self.assertIs(True, comes_back(steady, 6, 12, 30).back)
-        self.assertIs(True, comes_back({**steady, **dict.fromkeys(range(6, 18), 0)}, 6, 12, 30).back)
-        self.assertIs(False, comes_back({**steady, **dict.fromkeys(range(6, 30), 16)}, 6, 12, 30).back)
-        self.assertIs(None, comes_back(dict.fromkeys(range(30), 3), 6, 12, 30).back)  # 15 viewings say nothing
-        self.assertIs(None, comes_back(steady, 6, 28, 30).back)  # too near the end
-        self.assertIs(True, comes_back({**steady, 20: 13, 21: 14}, 6, 12, 30).back)
+        self.assertIs(True, judge_recovery(steady, 6, 12, 30).recovered)
+        self.assertIs(True, judge_recovery({**steady, **dict.fromkeys(range(6, 18), 0)}, 6, 12, 30).recovered)
+        self.assertIs(False, judge_recovery({**steady, **dict.fromkeys(range(6, 30), 16)}, 6, 12, 30).recovered)
+        self.assertIs(None, judge_recovery(dict.fromkeys(range(30), 3), 6, 12, 30).recovered)  # 15 viewings say nothing
+        self.assertIs(None, judge_recovery(steady, 6, 28, 30).recovered)  # too near the end
+        self.assertIs(True, judge_recovery({**steady, 20: 13, 21: 14}, 6, 12, 30).recovered)
 
     def test_a_days_records_say_it_and_a_box_that_is_not_back_yet_counts_as_struck(self):
         def told(plays, back=9.0):
@@ -123,12 +123,12 @@
                 for name, some in (("lab", lab), ("clients", rows)):
                     pathlib.Path(folder, f"{name}.jsonl").write_text("".join(json.dumps(r) + "\n" for r in some))
                 pathlib.Path(folder, "day.json").write_text('{"length_s": 30}')
-                return of_day(folder)
+                return judge_day(folder)
 
         steady = [n / 30 for n in range(900)]
-        self.assertIs(True, told(steady).back)
-        self.assertIs(False, told([s for s in steady if s < 6 or s * 30 % 4 < 1]).back)
-        self.assertIs(None, told(steady, 25.0).back)
+        self.assertIs(True, told(steady).recovered)
+        self.assertIs(False, told([s for s in steady if s < 6 or s * 30 % 4 < 1]).recovered)
+        self.assertIs(None, told(steady, 25.0).recovered)
 
 
 class Found(unittest.TestCase):
--- a/tests/test_stragglers.py
+++ b/tests/test_stragglers.py
@@ -141,7 +141,7 @@
         self.run_.lab.put("end")
         await self.run_.finish()
         judged = judge(self.out)
-        self.assertEqual([], judged.bad())
+        self.assertEqual([], judged.violations())
         return judged
 
 
@@ -366,7 +366,7 @@
         self.run_.lab.put("end")
         await self.run_.finish()
         judged = judge(self.out)
-        self.assertEqual({("under floor", "m0")}, {(f.what, f.manager) for f in judged.bad()})
+        self.assertEqual({("under floor", "m0")}, {(f.what, f.manager) for f in judged.violations()})
 
 
 class Lying(Fleet):
@@ -502,7 +502,7 @@
     def test_the_example_keeps_the_rules_and_both_accounts_agree_on_every_action(self):
         out, rows, logs_ = self.play("examples/straggler-day.jsonnet", 4, troubled=("adopted",))
         audited = judge(out)
-        self.assertEqual([], audited.bad())
+        self.assertEqual([], audited.violations())
         self.assertGreater(audited.agreed, 100)
         self.assertEqual(set(), {f.manager for f in audited.findings} - {"m3"})  # killed
         self.assertTrue([r for r in rows if r["what"] == "answer" and r["status"] == 412 and not r["ran"]])
@@ -513,7 +513,7 @@
         out, rows, logs_ = self.play("examples/flap-day.jsonnet", 2, troubled=("adopted",))
         audited = judge(out)
         # The older build says nothing of its versions; where a floor stands nothing of it runs.
-        self.assertEqual({("no stamp", "m4")}, {(f.what, f.manager) for f in audited.bad()})
+        self.assertEqual({("no stamp", "m4")}, {(f.what, f.manager) for f in audited.violations()})
         late = [r for r in rows if r["what"] == "answer" and r["key"].startswith("m4.")]
         floor = min(r["at"] for r in rows if r["what"] == "floor" and r["floor"])
         self.assertEqual({412}, {r["status"] for r in late if r["at"] > floor + 20_000})
--- a/tests/test_ways.py
+++ b/tests/test_ways.py
@@ -275,7 +275,7 @@
         self.assertRegex(shown, r" s  kill m2\n")
         # Both accounts of what was done agree, through all of it.
         audited = judge(out)
-        self.assertEqual([], audited.bad())
+        self.assertEqual([], audited.violations())
         # What a killed manager did in its last moment it may not have put down any more.
         self.assertEqual(set(), {f.manager for f in audited.findings} - {"m2"})
         self.assertEqual(audited.actions, audited.agreed + len(audited.findings))
