--- a/flaxscale/standins/__init__.py
+++ b/flaxscale/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of the systems outside: media boxes and the box list, from public specifications, on loopback only."""
+"""Stand-ins for the external systems: media boxes and the box list, after public specifications, on loopback only."""
--- a/flaxscale/standins/boxlist.py
+++ b/flaxscale/standins/boxlist.py
@@ -1,7 +1,7 @@
-"""The box list stand-in: who runs, told to managers as full lists and deltas with versions, late on demand.
+"""The box list stand-in: sends managers full lists and deltas of the running boxes, with versions and optional delay.
 
-Boxes tell by datagram that they run (and what they ask of their rack's uplink, which is shared here); a box not
-heard of for a while is gone. The list knows no more of a box than that its process runs, drains or is gone.
+Boxes send heartbeats by datagram, with their demand on the rack's uplink, which the list adds up by rack. A box without
+heartbeats for a while is gone. The list knows of a box only that its process runs, drains or is gone.
 """
 
 import asyncio
@@ -12,22 +12,25 @@
 from ..serve.clock import now
 from ..serve.server import Server
 
-HEARTBEAT_TIMEOUT = 6_000  # a box that was silent so long is gone
+HEARTBEAT_TIMEOUT = 6_000  # tenths of a millisecond without a heartbeat after which a box is gone
 
 
 class BoxList:
+    """The list of boxes and its HTTP server."""
+
     def __init__(self, uplinks, record=None, change_delay=0):
-        """uplinks: kB a second by rack, or one figure for all. late: tenths until a change is told."""
+        """uplinks: kB/s by rack, or one figure for all. change_delay: of each change, in tenths of a millisecond."""
         self.uplinks, self.record, self.change_delay = uplinks, record or Recorder(), change_delay
         self.rows, self.heartbeat_at, self.demands, self.version = {}, {}, {}, 0
         self.history, self.streams, self.timer, self.loop, self.frozen = [], {}, None, None, False
-        self.addresses_by_manager = {}  # manager: {box: address}, where each reaches boxes by its own way
+        self.addresses_by_manager = {}  # manager: {box: address}, where managers reach boxes at addresses of their own
         self.server = Server(self.handle)
         self.address, self.udp = None, None
 
     async def start(self, host="127.0.0.1", port=0):
+        """Listens for managers (TCP) and heartbeats (UDP) at one port; returns the address."""
         self.loop = asyncio.get_running_loop()
-        for tries in range(20):  # one number for both protocols: a free one for TCP may be taken for UDP
+        for tries in range(20):  # both protocols use one port number, and one that is free for TCP may be used for UDP
             self.address = await self.server.listen(host, port)
             try:
                 self.udp, _ = await self.loop.create_datagram_endpoint(
@@ -43,19 +46,22 @@
         return self.address
 
     def uplink_kb(self, rack):
+        """Returns the capacity of a rack's uplink."""
         return self.uplinks.get(rack, 1e9) if isinstance(self.uplinks, dict) else self.uplinks
 
     def handle_heartbeat(self, row):
+        """Takes a box's heartbeat; returns the demand of the other boxes of its rack and the uplink's capacity."""
         id = row["id"]
         self.heartbeat_at[id] = now()
         self.demands[id] = row["rack"], row["kb"]
-        others = sum(kb for o, (rack, kb) in self.demands.items() if rack == row["rack"] and o != id)
+        others = sum(kb for other, (rack, kb) in self.demands.items() if rack == row["rack"] and other != id)
         old = self.rows.get(id)
-        if old is None or any(old[k] != row[k] for k in ("boot", "state", "address", "weight", "cell")):
+        if old is None or any(old[field] != row[field] for field in ("boot", "state", "address", "weight", "cell")):
             self.apply_change([row])
         return {"others": others, "uplink": self.uplink_kb(row["rack"])}
 
     def expire_silent_boxes(self):
+        """Removes boxes without recent heartbeats, and calls itself again."""
         time = now()
         gone = [id for id, at in self.heartbeat_at.items() if time - at > HEARTBEAT_TIMEOUT]
         for id in gone:
@@ -66,6 +72,7 @@
         self.timer = self.loop.call_later(0.1, self.expire_silent_boxes)
 
     def apply_change(self, rows):
+        """Makes a new version with these rows and schedules its delta for every manager."""
         since, self.version = self.version, self.version + 1
         for row in rows:
             if row["state"] == "gone":
@@ -78,15 +85,17 @@
             self.loop.call_later(self.change_delay / 10_000, self.send_delta, manager, since, self.version, rows, now())
 
     def list_entry(self, manager, row, seen):
-        keys = ("id", "address", "kind", "cell", "zone", "weight", "boot", "state")
+        """Returns a box's entry as it is sent to this manager."""
+        fields = ("id", "address", "kind", "cell", "zone", "weight", "boot", "state")
         address = self.addresses_by_manager.get(manager, {}).get(str(row["id"]), row["address"])
         return {
-            **{k: row[k] for k in keys},
+            **{field: row[field] for field in fields},
             "address": address,
             "up_ms": row["up_ms"] + (now() - row.get("seen", seen)) / 10,
         }
 
     def send_delta(self, manager, since, version, rows, seen):
+        """Sends one version's changes to a manager; nothing while the list is frozen."""
         stream = self.streams.get(manager)
         if stream is None or self.frozen:
             return
@@ -96,11 +105,12 @@
             manager=manager,
             kind="delta",
             version=version,
-            boxes=[[b["id"], b["state"], b["boot"]] for b in boxes],
+            boxes=[[box["id"], box["state"], box["boot"]] for box in boxes],
         )
         stream.send(sse.encode("delta", json.dumps({"version": version, "since": since, "boxes": boxes}), str(version)))
 
     def handle(self, exchange):
+        """Opens a manager's stream with the deltas that it missed, or with the full list where these aren't kept."""
         request = exchange.request
         if request.method != "GET" or request.target != "/boxes":
             exchange.refuse(404, "Nothing here", "the list is at /boxes")
@@ -110,12 +120,12 @@
         exchange.stream([("Content-Type", "text/event-stream")])
         self.streams[name] = exchange
         exchange.gone = lambda: self.streams.pop(name, None) if self.streams.get(name) is exchange else None
-        kept = [h for h in self.history if since.isdigit() and h[0] >= int(since)]
+        missed = [change for change in self.history if since.isdigit() and change[0] >= int(since)]
         if since.isdigit() and int(since) == self.version:
             return
-        if kept and kept[0][0] == int(since):
-            for h in kept:
-                self.send_delta(name, *h)
+        if missed and missed[0][0] == int(since):
+            for change in missed:
+                self.send_delta(name, *change)
             return
         rows = [self.list_entry(name, row, now()) for row in self.rows.values()]
         self.record.put(
@@ -123,14 +133,15 @@
             manager=name,
             kind="full",
             version=self.version,
-            boxes=[[b["id"], b["state"], b["boot"]] for b in rows],
+            boxes=[[box["id"], box["state"], box["boot"]] for box in rows],
         )
         exchange.send(sse.encode("full", json.dumps({"version": self.version, "boxes": rows}), str(self.version)))
 
     def command(self, row):
-        """{"late_ms": n} from now on; {"frozen": true} tells nothing until it is false again (then all is told).
+        """Changes the list's behaviour from now on.
 
-        {"ways": {manager: {box: address}}}: each asker's own addresses.
+        {"late_ms": n}: delay of changes. {"frozen": true}: sends nothing until it is false again, then everything.
+        {"ways": {manager: {box: address}}}: addresses by manager. {"rack": n, "uplink": kb}: capacity of an uplink.
         """
         if "ways" in row:
             self.addresses_by_manager = row["ways"]
@@ -140,7 +151,7 @@
             was, self.frozen = self.frozen, bool(row["frozen"])
             if was and not self.frozen:
                 for exchange in list(self.streams.values()):
-                    exchange.end()  # they come again and get what they missed
+                    exchange.end()  # managers reconnect and get the changes that they missed
         if "uplink" in row:
             self.uplinks = {
                 **(self.uplinks if isinstance(self.uplinks, dict) else {}),
@@ -150,6 +161,8 @@
 
 
 class HeartbeatProtocol(asyncio.DatagramProtocol):
+    """Receives heartbeats and answers them."""
+
     def __init__(self, owner):
         self.owner = owner
 
--- a/flaxscale/standins/boxserver.py
+++ b/flaxscale/standins/boxserver.py
@@ -1,7 +1,8 @@
-"""A media box on a socket: WHIP and WHEP with its own SDP, notes to its managers, troubles by command.
+"""HTTP server of a media box: WHIP and WHEP with SDP answers, load notes to managers, faults by command.
 
-Paths: /whep/TITLE, /whip/TITLE, /session/NAME, /media/UFRAG (the stand-in's media: a line a second),
-/manager/notes (server-sent events), /manager/orders (ends and rungs). What passes is recorded at the socket.
+Paths: /whep/TITLE, /whip/TITLE, /session/NAME, /media/UFRAG (the stand-in's media: one line per second),
+/manager/notes (server-sent events), /manager/orders (session ends and rungs), and further /manager/ paths, see
+handle_manager. Requests and answers are recorded as the socket receives and sends them.
 """
 
 import asyncio
@@ -24,29 +25,37 @@
 from ..store.latest import Latest
 from ..versions.floor import At, FloorBook
 
-HEARTBEAT_S = 0.1  # to the box list: that it runs, and what it asks of the rack's uplink
+HEARTBEAT_S = 0.1  # interval of heartbeats to the box list, in seconds
 BELOW_FLOOR = 412, "Under the floor", "what this manager goes by is too old"
-MAX_UNDELIVERED = 1_000  # overs that a manager is told later, and managers' lives of which any are kept
+MAX_UNDELIVERED = 1_000  # "over" events kept per manager's life, and managers' lives for which any are kept
 FENCE_REFUSALS = {410: "Taken up by another manager", 421: "Meant for another start of this box"}
-MAX_STAMPS = 2_000  # that are known by their numbers
+MAX_STAMPS = 2_000  # whole stamps kept, so that later requests may refer to them by number
 PROBLEM_TYPE = ("Content-Type", "application/problem+json")
 
 
 class Orders(msgspec.Struct):
+    """Body of /manager/orders."""
+
     end: list[str] = []
     rungs: dict[str, int] = {}
-    epochs: dict[str, int] = {}  # under which the manager holds a session, where it took it over
+    epochs: dict[str, int] = {}  # epoch by session key, for sessions that the manager took over
 
 
 class FenceRequest(msgspec.Struct):
+    """Body of /manager/tries: the digest of a client's key."""
+
     mark: str
 
 
 class Claims(msgspec.Struct):
-    claims: dict[str, int]  # key: the new epoch
+    """Body of /manager/adopt."""
+
+    claims: dict[str, int]  # new epoch by session key
 
 
 class BoxServer:
+    """The HTTP server of one box, with its heartbeats, catalogue watch, leases of managers and version floor."""
+
     def __init__(
         self,
         box,
@@ -59,10 +68,11 @@
         files=None,
         lease_files=None,
     ):
-        """site_row gives note_every and note_lag (tenths); lease: sessions end so long after their manager; and
-        media: they end so long after their media last flowed.
+        """site_row: four times in tenths of a millisecond: the interval and the delay of notes, the lease after which
+        a disconnected manager's sessions end, and the time without media after which a session ends.
 
-        files, lease_files: where its floor and its fence of leases are kept. StoreError, ValueError: can't be read.
+        files, lease_files: storage of the version floor and of the lease fence. Raises StoreError or ValueError where
+        these can't be read.
         """
         self.box, self.note_interval, self.note_delay, self.lease, self.media_timeout = box, *site_row
         self.server = Server(self.handle, Limits(16384, 64, 2048, 65536), most=100_000)
@@ -73,23 +83,22 @@
         self.setup_fence = SetupFence(box.boot)
         self.floor_book, self.stamp_versions = FloorBook(self.floor_store and self.floor_store.kept), {}
         self.streams, self.timers, self.media_by_ufrag, self.key_by_name, self.was_short = {}, set(), {}, {}, {}
-        self.undelivered = {}  # (manager, life): what it could not be told, as it had no stream
-        self.stream_life, self.stream_ended_at = (
-            {},
-            {},
-        )  # manager: the life whose stream this is; (manager, life): its end
+        self.undelivered = {}  # (manager, life): "over" events that wait for its next stream
+        # stream_life: manager -> life of its current stream. stream_ended_at: (manager, life) -> start of its lease.
+        self.stream_life, self.stream_ended_at = {}, {}
         self.udp, self.loop, self.address = None, None, None
         self.list_address = list_address
         self.catalogue = None
         if catalogue:
-            from ..catalogued.watch import CatalogueWatch  # gRPC is slow to load and most boxes need none
+            from ..catalogued.watch import CatalogueWatch  # imported here as gRPC is slow to load and few boxes use it
 
             self.catalogue = CatalogueWatch(catalogue, f"box-{box.place.id}", "box", self.titles_changed, log)
-            box.catalogue_rows = {}  # it holds nothing until it is told
+            box.catalogue_rows = {}  # the box holds no title until the catalogue says so
         fingerprint = hashlib.sha256(f"{box.seed}:{box.place.id}".encode()).digest()
-        self.fingerprint = ":".join(f"{b:02X}" for b in fingerprint)
+        self.fingerprint = ":".join(f"{byte:02X}" for byte in fingerprint)
 
     async def start(self, host="127.0.0.1", port=0):
+        """Listens, and starts heartbeats, the catalogue watch and notes. Returns the address."""
         self.loop = asyncio.get_running_loop()
         self.address = await self.server.listen(host, port)
         if self.list_address:
@@ -115,7 +124,7 @@
         return self.address
 
     def call_later(self, tenths, act, *args):
-        """A timer that dies with the box."""
+        """Schedules a call that is cancelled when the box is killed."""
 
         def run():
             self.timers.discard(handle)
@@ -126,6 +135,7 @@
         return handle
 
     def send_heartbeat(self):
+        """Sends the box's entry and its uplink demand to the box list, and schedules the next heartbeat."""
         box, place = self.box, self.box.place
         self.udp.sendto(
             json.dumps(
@@ -149,6 +159,7 @@
     # Requests
 
     def handle(self, exchange):
+        """Dispatches a request by its path."""
         try:
             segments, args = endpoint.split(exchange.request.target)
             if self.token and segments[0] != "media":
@@ -158,25 +169,26 @@
             elif segments[0] == "media" and len(segments) == 2:
                 self.handle_media(exchange, segments[1])
             else:
-                want = endpoint.read(exchange.request, segments, args)
-                if isinstance(want, endpoint.Offer):
-                    self.handle_offer(exchange, want)
-                elif isinstance(want, endpoint.Patch):
-                    self.handle_patch(exchange, want)
-                elif isinstance(want, endpoint.Delete):
-                    self.handle_delete(exchange, want)
+                message = endpoint.read(exchange.request, segments, args)
+                if isinstance(message, endpoint.Offer):
+                    self.handle_offer(exchange, message)
+                elif isinstance(message, endpoint.Patch):
+                    self.handle_patch(exchange, message)
+                elif isinstance(message, endpoint.Delete):
+                    self.handle_delete(exchange, message)
                 else:
-                    exchange.respond(204, endpoint.options_headers(want))
-        except endpoint.Refusal as no:
-            exchange.respond(no.status, [PROBLEM_TYPE, ("Flaxscale-Ran", "no"), *no.headers], no.body())
+                    exchange.respond(204, endpoint.options_headers(message))
+        except endpoint.Refusal as refusal:
+            exchange.respond(refusal.status, [PROBLEM_TYPE, ("Flaxscale-Ran", "no"), *refusal.headers], refusal.body())
 
     def handle_offer(self, exchange, offer):
+        """Sets up a session for a WHIP or WHEP offer, subject to the injected faults."""
         box, trouble, headers = self.box, self.box.trouble, exchange.request.headers
         key = offer.key or f"direct.{secrets.token_hex(6)}"
         manager, rung = headers.get("flaxscale-manager", ""), headers.get("flaxscale-rung", "0")
         rung = int(rung) if rung.isascii() and rung.isdigit() else -1
         time = now()
-        under = self.read_stamp(exchange, manager)
+        stamp_fields = self.read_stamp(exchange, manager)
         self.record.put(
             "setup",
             key=key,
@@ -186,20 +198,20 @@
             package=self.package_of(offer),
             rung=rung,
             sends=offer.sends,
-            **under,
+            **stamp_fields,
         )
         exchange.gone = lambda: self.record.put("closed", key=key)
         if trouble.hang:
-            return  # taken, and never answered
+            return  # accepted and never answered
         if trouble.reset_before and box.chance() < trouble.reset_before:
             exchange.kill()
             self.record.put("closed", key=key)
             return
-        if no := self.floor_refusal_headers(manager, under):
-            self.refuse_not_run(exchange, key, *BELOW_FLOOR, no)
+        if floor_headers := self.floor_refusal_headers(manager, stamp_fields):
+            self.refuse_not_run(exchange, key, *BELOW_FLOOR, floor_headers)
             return
-        mark, printed, meant_for = (*headers.get("flaxscale-try", "").split(";"), "", "")[:3]
-        if mark and (status := self.setup_fence.refusal_status(mark, manager, meant_for)):
+        digest, offer_digest, intended_boot = (*headers.get("flaxscale-try", "").split(";"), "", "")[:3]
+        if digest and (status := self.setup_fence.refusal_status(digest, manager, intended_boot)):
             self.refuse_not_run(exchange, key, status, FENCE_REFUSALS[status], "")
             return
         result, session = box.set_up(key, offer.title, offer.sends, manager, rung, time)
@@ -212,29 +224,29 @@
             self.assign_credentials(session, offer)
             session.cookie = headers.get("flaxscale-cookie", "")[:2000]
             session.life = self.manager_life(exchange)
-            if mark:
-                session.digest, session.offer_digest = mark, printed
-                self.setup_fence.started(mark, key)
+            if digest:
+                session.digest, session.offer_digest = digest, offer_digest
+                self.setup_fence.started(digest, key)
             if manager:
                 self.ensure_lease(manager, session.life)
-        kind = next(
+        fault = next(
             (
-                k
-                for k in ("answer_lost", "reset_after", "half")
-                if session is not None and getattr(trouble, k) and box.chance() < getattr(trouble, k)
+                name
+                for name in ("answer_lost", "reset_after", "half")
+                if session is not None and getattr(trouble, name) and box.chance() < getattr(trouble, name)
             ),
             None,
         )
-        patience = headers.get("flaxscale-patience", "")
-        until = time + int(patience) * 10 if patience.isascii() and patience.isdigit() else None
-        if session is not None and until is not None and time + result.after > until:
-            # A span, not a clock time: it is over before the work would be done, so the work is not done.
-            self.call_later(until - time, self.patience_expired, exchange, key)
+        patience_ms = headers.get("flaxscale-patience", "")
+        deadline = time + int(patience_ms) * 10 if patience_ms.isascii() and patience_ms.isdigit() else None
+        if session is not None and deadline is not None and time + result.after > deadline:
+            # The header is a duration, not a clock time. The set-up would finish after it, so it is given up then.
+            self.call_later(deadline - time, self.patience_expired, exchange, key)
             return
-        self.call_later(result.after, self.send_answer, exchange, offer, key, result, session, kind)
+        self.call_later(result.after, self.send_answer, exchange, offer, key, result, session, fault)
 
     def package_of(self, offer):
-        """The package of the title, whether it is held here now or not."""
+        """Returns the package of the offer's title, whether or not the box holds the title now."""
         if self.box.catalogue_rows is not None:
             row = self.catalogue.follower.titles.get(offer.title)
             return row and (row.push if offer.sends else row.view)
@@ -244,59 +256,63 @@
     # The catalogue
 
     def titles_changed(self, titles, version):
-        """It holds what the catalogue says, from the moment that it hears it."""
+        """Applies a change of the catalogue: the box holds what the catalogue says as soon as it receives it."""
         follower = self.catalogue.follower
         titles = titles if titles is not None else follower.titles
         if self.floor_book.source(str(follower.epoch), follower.floor):
             self.save_floor()
-        mine, told = {}, {}
-        for name, t in titles.items():
-            state = dict(t.holders).get(self.box.place.id) if t is not None else None
+        rows, recorded = {}, {}
+        for name, title in titles.items():
+            state = dict(title.holders).get(self.box.place.id) if title is not None else None
             if state is None and name not in (self.box.catalogue_rows or {}):
                 continue
-            mine[name] = None if state is None else (t.view, t.push, state, t.low, t.top)
-            told[name] = [state or "gone", dict(t.seats) if t is not None else {}]
-        for session in self.box.apply_catalogue(mine):
+            rows[name] = None if state is None else (title.view, title.push, state, title.low, title.top)
+            recorded[name] = [state or "gone", dict(title.seats) if title is not None else {}]
+        for session in self.box.apply_catalogue(rows):
             self.record.put("rung", key=session.key, rung=session.rung)
-        self.record.put("holds", version=version, titles=told)
+        self.record.put("holds", version=version, titles=recorded)
 
-    # The floor of versions
+    # The version floor
 
     def save_floor(self):
-        """Durable before anything is refused by it, so that it holds after a start too."""
+        """Stores the floor before any request is refused by it, so that it also holds after a restart."""
         if self.floor_store is not None:
             self.floor_store.put(self.floor_book.dump())
         self.record_floor()
 
     def record_floor(self):
+        """Records the floor, where there is one."""
         if self.floor_book.epoch:
             self.record.put(
                 "floor", epoch=self.floor_book.epoch, floor=self.floor_book.floor, earlier=self.floor_book.earlier
             )
 
-    def floor_refusal_headers(self, manager, under):
-        """The field of a refusal where a manager acts under the floor, or nobody can tell under what; else none."""
+    def floor_refusal_headers(self, manager, stamp_fields):
+        """Returns the refusal's headers where a manager acts under the floor or its version is unknown, else none."""
         if self.box.trouble.unfloored or not manager:
             return []
-        number = under["stamp"]
-        acting = self.stamp_versions.get((manager, under["life"], number))
-        if not self.floor_book.refuses(acting):
+        number = stamp_fields["stamp"]
+        version = self.stamp_versions.get((manager, stamp_fields["life"], number))
+        if not self.floor_book.refuses(version):
             return []
-        # One that is known by its number, but not here, is told whole the next time.
-        lost = ";unknown" if acting is None and number is not None else ""
-        return [("Flaxscale-Floor", f"{self.floor_book.epoch};{self.floor_book.floor}{lost}")]
+        # A stamp number without its stamp: ";unknown" makes the manager send the whole stamp next time.
+        unknown = ";unknown" if version is None and number is not None else ""
+        return [("Flaxscale-Floor", f"{self.floor_book.epoch};{self.floor_book.floor}{unknown}")]
 
     def assign_credentials(self, session, offer):
+        """Gives a new session its name, ufrag and ETag."""
         if session.name is None:
             session.name, session.ufrag = secrets.token_urlsafe(9), secrets.token_hex(4)
             session.etag = '"%s"' % secrets.token_hex(4)
             self.key_by_name[session.name] = self.register_media(session.ufrag, session.key)
 
     def register_media(self, ufrag, key):
+        """Maps a ufrag to its session's key; returns the key."""
         self.media_by_ufrag[ufrag] = key
         return key
 
-    def send_answer(self, exchange, offer, key, result, session, kind):
+    def send_answer(self, exchange, offer, key, result, session, fault):
+        """Answers an offer, or loses the answer in the way that an injected fault names."""
         if self.box.trouble.hang or (session is not None and session.key not in self.box.sessions):
             if exchange.answered or self.box.trouble.hang:
                 return
@@ -314,29 +330,31 @@
                 f"1 1 tcp 2130706431 {host} {port} typ host tcptype passive",
             )
             session.reply = session.etag, body
-        if kind == "answer_lost":
+        if fault == "answer_lost":
             self.record.put("lost", key=key)
             return
-        if kind == "reset_after":
+        if fault == "reset_after":
             self.record.put("lost", key=key)
             exchange.kill()
             self.record.put("closed", key=key)
             return
-        told = [self.load_header()] if self.box.site.reports == "answers" else []
-        rows = [*told, ("Flaxscale-Ran", "yes" if result.ran else "no"), ("Flaxscale-Boot", self.box.boot)]
+        load_headers = [self.load_header()] if self.box.site.reports == "answers" else []
+        headers = [*load_headers, ("Flaxscale-Ran", "yes" if result.ran else "no"), ("Flaxscale-Boot", self.box.boot)]
         if session is None:
             self.record.put("answer", key=key, status=result.status, ran=result.ran)
-            exchange.refuse(result.status, endpoint.TITLES.get(result.status, "Refused"), result.why, rows)
+            exchange.refuse(result.status, endpoint.TITLES.get(result.status, "Refused"), result.why, headers)
             return
-        rows += [
+        headers += [
             ("Content-Type", endpoint.SDP),
             ("Location", f"/session/{session.name}"),
             ("ETag", session.etag),
             ("Accept-Patch", endpoint.FRAGMENT),
         ]
-        if kind == "half":
+        if fault == "half":
             self.record.put("lost", key=key)
-            exchange.answered = exchange.streams = True  # it goes on for ever: its closing is still heard of
+            exchange.answered = exchange.streams = (
+                True  # the response never completes; exchange.gone still reports its closing
+            )
             exchange.line.write(
                 b"HTTP/1.1 201 Created\r\nLocation: /session/%s\r\nContent-Length: %d\r\n\r\n%s"
                 % (session.name.encode(), len(body), body[: len(body) // 2])
@@ -344,28 +362,30 @@
             return
         self.record.put("answer", key=key, status=201, ran=True, ufrag=session.ufrag)
         exchange.gone = None
-        exchange.respond(201, rows, body)
+        exchange.respond(201, headers, body)
 
     def patience_expired(self, exchange, key):
-        """Its patience is over before it was set up: the work stops, and it never ran."""
+        """Gives up a set-up that did not finish within its patience; it never ran."""
         if key not in self.box.sessions or self.box.trouble.hang:
             return
         self.end_session(key, "over time", tell=False)
         self.refuse_not_run(exchange, key, 504, "Its time is over", "not set up within its patience")
 
     def refuse_not_run(self, exchange, key, status, title, detail, more=()):
-        """Refuses a set-up, with the promise that it never ran and never will."""
+        """Refuses a set-up with the guarantee that it has not run and will not run."""
         self.record.put("answer", key=key, status=status, ran=False)
         exchange.gone = None
         exchange.refuse(status, title, detail, [*more, ("Flaxscale-Ran", "no"), ("Flaxscale-Boot", self.box.boot)])
 
     def find_session(self, name):
+        """Returns the session of a resource name; raises a 404 refusal where there is none."""
         session = self.box.sessions.get(self.key_by_name.get(name))
         if session is None:
             raise endpoint.Refusal(404, "no such session here")
         return session
 
     def handle_patch(self, exchange, want):
+        """Handles trickled candidates and ICE restarts."""
         if self.box.trouble.hang:
             return
         session, fragment = self.find_session(want.name), want.fragment
@@ -388,28 +408,29 @@
         exchange.respond(204, [("ETag", session.etag)])
 
     def handle_delete(self, exchange, want):
+        """Ends a session at its client's request."""
         session = self.find_session(want.name)
         self.end_session(session.key, "left")
         exchange.respond(200)
 
     def end_session(self, key, how, tell=True):
-        """Ends a session; its manager hears of it unless it asked for it itself."""
+        """Ends a session; tell: its manager is notified, as it did not order the end itself. False: no such session."""
         session = self.box.end(key, now())
         if session is None:
             return False
         self.key_by_name.pop(session.name, None)
         self.setup_fence.ended(session.digest, key)
         if session.ufrag is not None:
-            watcher = self.media_by_ufrag.pop(session.ufrag, None)
-            if isinstance(watcher, tuple):
-                watcher[1].end()
+            entry = self.media_by_ufrag.pop(session.ufrag, None)
+            if isinstance(entry, tuple):
+                entry[1].end()
         self.record.put("over", key=key, how=how)
         if tell:
             self.notify_session_over(session.manager, session.life, key, how)
         return True
 
     def notify_session_over(self, manager, life, key, how, to=""):
-        """Its manager hears that it plays it no more: now, or as the first thing once its stream is there."""
+        """Sends the manager an "over" event: now, or as soon as it opens its next stream."""
         row = json.dumps({"key": key, "how": how, "to": to})
         if self.has_stream(manager, life):
             self.streams[manager].send(sse.encode("over", row))
@@ -420,9 +441,10 @@
             while len(self.undelivered) > MAX_UNDELIVERED:
                 del self.undelivered[next(iter(self.undelivered))]
 
-    # Media: what a player sees of its viewing
+    # Media
 
     def handle_media(self, exchange, ufrag):
+        """Streams the media of a session to its player."""
         key = self.media_by_ufrag.get(ufrag)
         key = key[0] if isinstance(key, tuple) else key
         if key not in self.box.sessions:
@@ -434,11 +456,12 @@
         self.send_media(exchange, key)
 
     def media_closed(self, ufrag, key):
-        """The player's path is gone: consent has ended (RFC 7675), and so does the session."""
+        """Ends the session whose media connection closed, as consent has ended (RFC 7675)."""
         if key in self.box.sessions and not self.box.trouble.hang:
             self.end_session(key, "left")
 
     def send_media(self, exchange, key):
+        """Sends one line of media per second: the rung and the delivered share."""
         session = self.box.sessions.get(key)
         if session is None or not exchange.streams:
             return
@@ -449,61 +472,68 @@
 
     # Managers
 
-    def handle_manager(self, exchange, what):
+    def handle_manager(self, exchange, path):
+        """Dispatches a manager's request."""
         request, name = exchange.request, exchange.request.headers.get("flaxscale-manager", "")
-        act = {
+        handler = {
             ("notes", "GET"): self.open_note_stream,
             ("orders", "POST"): self.handle_orders,
             ("sessions", "GET"): self.handle_sessions,
             ("adopt", "POST"): self.handle_claims,
             ("load", "GET"): self.handle_probe,
             ("tries", "POST"): self.handle_try_fence,
-        }.get((what, request.method))
-        if act is None or (not name and what in ("notes", "adopt", "tries")):
+        }.get((path, request.method))
+        if handler is None or (not name and path in ("notes", "adopt", "tries")):
             raise endpoint.Refusal(
                 404,
                 "the paths are /manager/notes, /manager/load and /manager/sessions (GET), "
                 "/manager/orders and /manager/adopt (POST)",
             )
-        act(exchange, name)
+        handler(exchange, name)
 
     def open_note_stream(self, exchange, name):
+        """Opens a manager's event stream: the sessions under its name, then the "over" events that waited for it."""
         life = self.manager_life(exchange)
-        old, self.streams[name] = self.streams.get(name), exchange
-        if old is not None:
-            old.end()
-        before = self.stream_life.get(name, life)
-        if before != life and (name, before) not in self.stream_ended_at:  # it still had its stream: its lease begins
-            self.begin_lease(name, before)
+        previous, self.streams[name] = self.streams.get(name), exchange
+        if previous is not None:
+            previous.end()
+        previous_life = self.stream_life.get(name, life)
+        # The previous life's stream was still open: its lease begins now.
+        if previous_life != life and (name, previous_life) not in self.stream_ended_at:
+            self.begin_lease(name, previous_life)
         self.stream_life[name] = life
         self.stream_ended_at.pop((name, life), None)
         exchange.stream([("Content-Type", "text/event-stream"), ("Cache-Control", "no-store")])
         exchange.gone = lambda: self.stream_closed(name, life, exchange)
-        mine = [key for key, s in self.box.sessions.items() if s.manager == name]
-        exchange.send(sse.encode("hello", json.dumps({"boot": self.box.boot, "keys": mine})))
+        keys = [key for key, session in self.box.sessions.items() if session.manager == name]
+        exchange.send(sse.encode("hello", json.dumps({"boot": self.box.boot, "keys": keys})))
         for row in self.undelivered.pop((name, life), ()):
             exchange.send(sse.encode("over", row))
 
     def decode_body(self, exchange, kind, what):
+        """Decodes a JSON body; raises a 400 refusal where it is malformed."""
         try:
             return msgspec.json.decode(exchange.request.body, type=kind)
         except msgspec.MsgspecError as bad:
             raise endpoint.Refusal(400, f"{what} that can't be read: {bad}") from None
 
     def respond_json(self, exchange, row):
+        """Responds with a JSON object."""
         exchange.respond(200, [("Content-Type", "application/json")], json.dumps(row).encode())
 
     def handle_orders(self, exchange, name):
-        orders, under = self.decode_body(exchange, Orders, "orders"), self.read_stamp(exchange, name)
+        """Carries out a manager's orders, except for sessions that it no longer holds."""
+        orders, stamp_fields = self.decode_body(exchange, Orders, "orders"), self.read_stamp(exchange, name)
         fenced = [
             key
             for key in (*orders.end, *orders.rungs)
             if not self.box.fence.obeys(key, orders.epochs.get(key, 0), name)
         ]
         ends = [key for key in orders.end if key not in fenced]
-        # An end does no harm under any version, and what plays must end; a rung is refused under the floor.
-        no = self.floor_refusal_headers(name, under)
-        rungs = {} if no else orders.rungs
+        # Ends are carried out whatever the version, as they do no harm and sessions must end; rungs are refused under
+        # the floor.
+        floor_headers = self.floor_refusal_headers(name, stamp_fields)
+        rungs = {} if floor_headers else orders.rungs
         if ends or rungs:
             self.record.put(
                 "ordered",
@@ -511,7 +541,7 @@
                 ends=ends,
                 rungs=[key for key in rungs if key not in fenced],
                 manager=name,
-                **under,
+                **stamp_fields,
             )
         if fenced:
             self.record.put("fenced", manager=name, keys=fenced)
@@ -523,61 +553,70 @@
         for key, rung in rungs.items():
             if key not in fenced and (set_to := self.box.set_rung(key, rung)) is not None:
                 self.record.put("rung", key=key, rung=set_to)
-        exchange.respond(200, [("Content-Type", "application/json"), *no], json.dumps({"fenced": fenced}).encode())
+        exchange.respond(
+            200, [("Content-Type", "application/json"), *floor_headers], json.dumps({"fenced": fenced}).encode()
+        )
 
     def load_header(self):
+        """Returns the header with the box's load."""
         return load.FIELD, load.encode(self.box.load_figures(now()))
 
     def handle_probe(self, exchange, name):
-        """A probe: answered beside the set-ups, so that it says that the process runs and how full it is."""
+        """Answers a probe independently of set-ups: it shows that the process runs and how loaded it is."""
         self.record.put("probed", manager=name)
         if not self.box.trouble.hang:
             exchange.respond(200, [self.load_header()], b"")
 
     def handle_sessions(self, exchange, name):
+        """Lists the sessions, all or those of one owner (query argument "of")."""
         _, args = endpoint.split(exchange.request.target)
         if not self.box.trouble.hang:
-            told = [self.session_row(s) for s in self.box.sessions.values() if s.name]
+            rows = [self.session_row(session) for session in self.box.sessions.values() if session.name]
             self.respond_json(
                 exchange,
                 {
                     "boot": self.box.boot,
-                    "sessions": [row for row in told if "of" not in args or row["owner"] == args["of"]],
+                    "sessions": [row for row in rows if "of" not in args or row["owner"] == args["of"]],
                 },
             )
 
-    def session_row(self, s):
-        """A session as managers are told of it."""
-        owner, epoch = s.manager, self.box.fence.epoch(s.key)
-        if self.box.trouble.unfenced:  # as one that lost what it knew beside the sessions themselves
-            owner, epoch = s.key.partition(".")[0], 0
+    def session_row(self, session):
+        """Returns a session as managers receive it."""
+        owner, epoch = session.manager, self.box.fence.epoch(session.key)
+        if self.box.trouble.unfenced:  # a box that lost its fence: owner and epoch as at the set-up
+            owner, epoch = session.key.partition(".")[0], 0
         return {
-            "key": s.key,
+            "key": session.key,
             "owner": owner,
             "epoch": epoch,
-            "rung": s.rung,
-            "location": f"/session/{s.name}",
-            "media": s.media_requested,
-            "age_ms": (now() - s.started_at) / 10,
-            "cookie": s.cookie,
+            "rung": session.rung,
+            "location": f"/session/{session.name}",
+            "media": session.media_requested,
+            "age_ms": (now() - session.started_at) / 10,
+            "cookie": session.cookie,
         }
 
     def handle_claims(self, exchange, name):
+        """Grants a manager's claims to sessions, where its version and lease allow it."""
         claims = self.decode_body(exchange, Claims, "claims").claims
         if not self.box.trouble.hang:
-            life, under = self.manager_life(exchange), self.read_stamp(exchange, name)
-            if no := self.floor_refusal_headers(name, under):
-                exchange.refuse(*BELOW_FLOOR, no)
+            life, stamp_fields = self.manager_life(exchange), self.read_stamp(exchange, name)
+            if floor_headers := self.floor_refusal_headers(name, stamp_fields):
+                exchange.refuse(*BELOW_FLOOR, floor_headers)
                 return
             if not self.check_lease(exchange):
                 return
             self.respond_json(
                 exchange,
-                {"granted": [key for key, epoch in claims.items() if self.grant_claim(key, epoch, name, life, under)]},
+                {
+                    "granted": [
+                        key for key, epoch in claims.items() if self.grant_claim(key, epoch, name, life, stamp_fields)
+                    ]
+                },
             )
 
     def check_lease(self, exchange):
-        """Whether what is done under a lease may be done: by none older than the last one that was here."""
+        """Refuses a request whose lease is older than the newest one seen; returns whether it may go on."""
         field = exchange.request.headers.get("flaxscale-lease")
         if field is None:
             return True
@@ -597,12 +636,15 @@
         return True
 
     def handle_try_fence(self, exchange, name):
-        """A manager takes up a client's earlier try: what stands is told, what has not come can't begin any more."""
-        mark = self.decode_body(exchange, FenceRequest, "a mark").mark
+        """Fences a client's earlier attempt for a manager that takes it over.
+
+        A session that exists is returned; a set-up that has not arrived yet can no longer begin.
+        """
+        digest = self.decode_body(exchange, FenceRequest, "a mark").mark
         if self.box.trouble.hang:
             return
-        session = self.box.sessions.get(self.setup_fence.fence(mark, name, now()))
-        self.record.put("try", mark=mark, manager=name, key=session and session.key)
+        session = self.box.sessions.get(self.setup_fence.fence(digest, name, now()))
+        self.record.put("try", mark=digest, manager=name, key=session and session.key)
         if session is None or session.reply is None:
             self.respond_json(exchange, {"boot": self.box.boot, "out": session is not None})
             return
@@ -621,10 +663,11 @@
         )
 
     def manager_life(self, exchange):
+        """Returns the life of the manager that sent the request."""
         return exchange.request.headers.get("flaxscale-life", "")
 
     def read_stamp(self, exchange, manager):
-        """The life and the stamp under which a manager acts, for the records; a whole stamp gets a row of its own."""
+        """Returns the manager's life and stamp number as record fields; a whole stamp gets a row of its own."""
         life, field = self.manager_life(exchange), exchange.request.headers.get("flaxscale-stamp")
         try:
             number, whole = stamp.read(field) if field is not None else (None, None)
@@ -633,98 +676,106 @@
             return {"life": life, "stamp": None}
         if whole is not None:
             self.record.put("stamp", manager=manager, life=life, number=number, stamp=msgspec.structs.asdict(whole))
-            at = At(*whole.catalogue) if whole.catalogue is not None else None
-            self.stamp_versions[manager, life, number] = at
+            version = At(*whole.catalogue) if whole.catalogue is not None else None
+            self.stamp_versions[manager, life, number] = version
             if len(self.stamp_versions) > MAX_STAMPS:
                 del self.stamp_versions[next(iter(self.stamp_versions))]
-            if at is not None and self.floor_book.told(at.epoch, whole.floor):
+            if version is not None and self.floor_book.told(version.epoch, whole.floor):
                 self.save_floor()
         return {"life": life, "stamp": number}
 
-    def grant_claim(self, key, epoch, name, life="", under=None):
-        """One claim. Who held the session before hears that it is another's now, if it still listens."""
+    def grant_claim(self, key, epoch, name, life="", stamp_fields=None):
+        """Decides on one claim; notifies the previous holder where the session went to another manager."""
         held = self.box.sessions.get(key)
-        life_before = held.life if held is not None else ""
-        good, before = self.box.adopt(key, epoch, name, life)
-        if good:
-            self.record.put("adopted", key=key, manager=name, epoch=epoch, **(under or {}))
+        previous_life = held.life if held is not None else ""
+        granted, previous = self.box.adopt(key, epoch, name, life)
+        if granted:
+            self.record.put("adopted", key=key, manager=name, epoch=epoch, **(stamp_fields or {}))
             self.ensure_lease(name, life)
-            if before != name:
-                self.notify_session_over(before, life_before, key, "moved", name)
-        return good
+            if previous != name:
+                self.notify_session_over(previous, previous_life, key, "moved", name)
+        return granted
 
     def stream_closed(self, name, life, exchange):
+        """Begins the lease of a manager whose current stream closed."""
         if self.streams.get(name) is exchange:
             del self.streams[name]
             self.begin_lease(name, life)
 
     def ensure_lease(self, name, life):
-        """Something of this life is here now: without a stream of its own its lease begins."""
+        """Begins the lease of a manager's life that has sessions here but neither a stream nor a running lease."""
         if (name, life) not in self.stream_ended_at and not self.has_stream(name, life):
             self.begin_lease(name, life)
 
     def has_stream(self, name, life):
+        """Returns whether this life of the manager has an open stream."""
         return name in self.streams and self.stream_life.get(name) == life
 
     def begin_lease(self, name, life):
+        """Starts the time after which this life's sessions end unless it returns."""
         self.stream_ended_at[name, life] = now()
         self.call_later(self.lease, self.lease_expired, name, life)
 
     def lease_expired(self, name, life):
-        """A manager's life that stayed away takes with it what nobody claimed."""
+        """Ends the unclaimed sessions of a manager's life that did not return within the lease."""
         if self.has_stream(name, life) or now() - self.stream_ended_at.get((name, life), now()) < self.lease:
             return
         del self.stream_ended_at[name, life]
-        for key in [key for key, s in self.box.sessions.items() if s.manager == name and s.life == life]:
+        for key in [
+            key for key, session in self.box.sessions.items() if session.manager == name and session.life == life
+        ]:
             self.end_session(key, "lease", tell=False)
 
     def one_session_per_manager(self):
-        """For each manager with viewings here, one of them: notes are told on it."""
-        found = {}
+        """Returns {manager: key of one of its sessions here}; notes name that session."""
+        keys = {}
         for key, session in self.box.sessions.items():
-            found.setdefault(session.manager, key)
-        return found
+            keys.setdefault(session.manager, key)
+        return keys
 
     def send_note(self, manager, note):
+        """Sends a note on the manager's stream, if it has one."""
         if manager in self.streams and not self.box.trouble.hang:
             self.streams[manager].send(sse.encode("note", json.dumps(note)))
 
     def send_notes(self):
-        """How full link and uplink are: to all at the same time, as late as the terms say."""
+        """Sends link and uplink load to all managers at once, with the delay of the site's settings."""
         figures, late = self.box.load_figures(now()), self.note_delay + self.box.trouble.report_late
         for manager, key in self.one_session_per_manager().items():
             self.call_later(late, self.send_note, manager, {"key": key, "link": figures["x0"], "uplink": figures["x1"]})
         self.call_later(self.note_interval, self.send_notes)
 
     def send_shortage(self):
-        """The share delivered, once a second while it is short, and once after."""
+        """Reports the delivered share once per second while it is below 0.98, and once after it has recovered."""
         share = self.box.delivered_share(now())
         for manager, key in self.one_session_per_manager().items():
-            was, self.was_short[manager] = self.was_short.get(manager, False), share < 0.98
-            if share < 0.98 or was:
+            was_short, self.was_short[manager] = self.was_short.get(manager, False), share < 0.98
+            if share < 0.98 or was_short:
                 self.call_later(self.note_delay, self.send_note, manager, {"key": key, "delivered": share})
         self.end_idle_sessions()
         self.call_later(10_000, self.send_shortage)
 
     def end_idle_sessions(self):
-        """What had no media for long ends: consent has expired (RFC 7675, 5.1), or there never was any."""
+        """Ends sessions without media for media_timeout: consent has expired (RFC 7675, 5.1) or was never given."""
         time = now()
         for key in (
             []
             if self.box.trouble.hang
-            else [key for key, s in self.box.sessions.items() if time - s.last_media_at >= self.media_timeout]
+            else [
+                key for key, session in self.box.sessions.items() if time - session.last_media_at >= self.media_timeout
+            ]
         ):
             self.end_session(key, "no media")
 
-    # The end
+    # Faults and shutdown
 
     def command(self, row):
-        """A trouble by command: {"trouble": name, "value": number}."""
+        """Sets a fault: {"trouble": name, "value": number}."""
         self.box.trouble.set(row["trouble"], row["value"])
         self.record.put("trouble", box=self.box.place.id, name=row["trouble"], value=row["value"])
 
     def die(self):
-        """As a process that is killed: every socket closes at once."""
+        """Stops like a killed process: every socket closes at once."""
         self.record.put("dead", box=self.box.place.id, boot=self.box.boot)
         for timer in list(self.timers):
             timer.cancel()
@@ -740,13 +791,15 @@
 
 
 class HeartbeatProtocol(asyncio.DatagramProtocol):
+    """Receives the box list's answers to heartbeats."""
+
     def __init__(self, owner):
         self.owner = owner
 
     def datagram_received(self, data, addr):
-        told = json.loads(data)
-        self.owner.box.other_rack_kb = told["others"]
-        self.owner.box.uplink_kb = told["uplink"]
+        answer = json.loads(data)
+        self.owner.box.other_rack_kb = answer["others"]
+        self.owner.box.uplink_kb = answer["uplink"]
 
     def error_received(self, error):
-        pass  # the list is away for a while; the box goes on with the last it heard
+        pass  # the list can't be reached; the box keeps the last figures
