--- a/flaxscale/cli/audit.py
+++ b/flaxscale/cli/audit.py
@@ -1,4 +1,4 @@
-"""flaxscale audit: which manager acted on which versions, from records."""
+"""The commands of flaxscale audit: which manager acted under which versions, from records."""
 
 import json
 import pathlib
@@ -10,25 +10,30 @@
 from ..rules.audit import judge
 from . import BAD
 
-CONTRADICTED = 4  # exit status: a contradiction, or managers that go by different versions
+CONTRADICTED = 4  # exit status: a contradiction, or managers that use different versions
 STAMP_FIELDS = "build", "settings", "list_version", "catalogue", "peaks", "members"
 
 
 def show_findings(judged, as_json):
-    for f in judged.findings[: None if as_json else 50]:
-        click.echo(json.dumps(f._asdict()) if as_json else f"{f.what}: {f.manager} {f.key}: {f.detail}")
+    """Prints the findings: all as JSON lines, at most 50 as text."""
+    for finding in judged.findings[: None if as_json else 50]:
+        click.echo(
+            json.dumps(finding._asdict())
+            if as_json
+            else f"{finding.what}: {finding.manager} {finding.key}: {finding.detail}"
+        )
 
 
 @click.group()
 def audit():
-    """Who did what under which versions, by the managers' own accounts and by what boxes saw."""
+    """Show who did what under which versions, by the managers' accounts and the boxes' records."""
 
 
 @audit.command()
 @click.argument("folder", type=click.Path(exists=True, path_type=pathlib.Path))
-@click.option("--json", "as_json", is_flag=True, help="One JSON line for each finding, and one for the sums.")
+@click.option("--json", "as_json", is_flag=True, help="One JSON line per finding, and one with the totals.")
 def day(folder, as_json):
-    """Join both accounts of a day's records in FOLDER; status 4 where they contradict each other."""
+    """Compare managers' accounts and boxes' records of a day in FOLDER; status 4 where they contradict each other."""
     judged = judge(folder)
     show_findings(judged, as_json)
     if as_json:
@@ -42,7 +47,7 @@
 @click.argument("name")
 @click.option("--records", "folder", required=True, type=click.Path(exists=True, path_type=pathlib.Path))
 def viewing(name, folder):
-    """All that was done for a viewing or a set-up whose name begins with NAME, with the versions in force."""
+    """Show all actions for viewings and set-ups whose key begins with NAME, with the versions in force."""
     judged, found = judge(folder), 0
     for file in sorted(folder.glob("account-*.jsonl")):
         life = None
@@ -52,22 +57,22 @@
             if row["what"] == "did" and row["key"].startswith(name):
                 found += 1
                 stamp = judged.stamps.get(life, {}).get(row["number"])
-                at = f" at box {row['box']}" if row["box"] else ""
+                place = f" at box {row['box']}" if row["box"] else ""
                 click.echo(
-                    f"{life[0]} {row['kind']} {row['key']}{at}, stamp {row['number']}: "
-                    + (", ".join(f"{f} {stamp[f]}" for f in STAMP_FIELDS) if stamp else "unknown")
+                    f"{life[0]} {row['kind']} {row['key']}{place}, stamp {row['number']}: "
+                    + (", ".join(f"{field} {stamp[field]}" for field in STAMP_FIELDS) if stamp else "unknown")
                 )
     if not found:
-        click.echo(f"flaxscale: {name}: nothing of this name in {folder}", err=True)
+        click.echo(f"flaxscale: {name}: no action of this name in {folder}", err=True)
         sys.exit(BAD)
 
 
 @audit.command()
 @click.argument("number", type=int)
 @click.option("--records", "folder", required=True, type=click.Path(exists=True, path_type=pathlib.Path))
-@click.option("--since", default=0.0, help="Seconds of the day; actions from then on.")
+@click.option("--since", default=0.0, help="Second of the day from which actions are shown.")
 def version(number, folder, since):
-    """All that managers did under version NUMBER of the catalogue, by manager and kind, and at which boxes."""
+    """Count the managers' actions under version NUMBER of the catalogue, by manager, kind and box."""
     lab = folder / "lab.jsonl"
     rows = [json.loads(line) for line in lab.read_text().splitlines()] if lab.exists() else []
     began = next((row["at"] for row in rows if row["what"] == "begin"), 0)
@@ -81,20 +86,20 @@
             elif row["what"] == "stamp":
                 stamps[row["number"]] = row["stamp"]
             elif row["what"] == "did" and row["at"] >= began + since * 10_000:
-                at = stamps.get(row["number"], {}).get("catalogue")
-                if at and at[1] == number:
-                    found[(*life, at[0], row["kind"], row["box"])] += 1
+                in_force = stamps.get(row["number"], {}).get("catalogue")
+                if in_force and in_force[1] == number:
+                    found[(*life, in_force[0], row["kind"], row["box"])] += 1
     for (manager, life, epoch, kind, box), count in sorted(found.items()):
         click.echo(f"{manager} (life {life}), epoch {epoch}: {count} {kind}" + (f" at box {box}" if box else ""))
     if not found:
-        click.echo(f"flaxscale: version {number}: nothing was done under it in {folder}", err=True)
+        click.echo(f"flaxscale: version {number}: no action under it in {folder}", err=True)
         sys.exit(BAD)
 
 
 @audit.command()
 @click.argument("folder", type=click.Path(exists=True))
 def account(folder):
-    """A manager's own account in FOLDER (STATE/account-mN; while that manager does not run), as JSON lines."""
+    """Print a manager's account in FOLDER (STATE/account-mN) as JSON lines. The manager must not be running."""
     import msgspec
 
     from ..audit.account import plain, rows_of
@@ -103,8 +108,8 @@
 
     try:
         rows = rows_of(Log(Files(folder)).found)
-    except (StoreError, ValueError, OSError) as bad:
-        click.echo(f"flaxscale: {folder}: {bad}", err=True)
+    except (StoreError, ValueError, OSError) as error:
+        click.echo(f"flaxscale: {folder}: {error}", err=True)
         sys.exit(BAD)
     for row in rows:
         click.echo(msgspec.json.encode(plain(row)).decode())
--- a/flaxscale/cli/days.py
+++ b/flaxscale/cli/days.py
@@ -1,4 +1,4 @@
-"""flaxscale day, check and config."""
+"""The commands flaxscale day, check and config."""
 
 import pathlib
 import sys
@@ -27,14 +27,17 @@
 @click.option("--seed", default=1, show_default=True)
 @click.option("--out", required=True, type=click.Path(), help="Folder for the records; must be empty or new.")
 @click.option(
-    "--timeline/--no-timeline", "show_timeline", default=None, help="Print what came when; usual where a rule broke."
+    "--timeline/--no-timeline",
+    "show_timeline",
+    default=None,
+    help="Print the events by time; default: only where a rule was broken.",
 )
 def day(file, seed, out, show_timeline):
-    """Play a day of FILE (Jsonnet) on loopback and write what passed on the sockets."""
+    """Play a day of FILE (Jsonnet) on loopback and write the records of its sockets."""
     found = site_errors(lambda: read_day(file))
     folder = pathlib.Path(out)
     if folder.exists() and any(folder.iterdir()):
-        click.echo(f"flaxscale: {out}: an empty folder expected; nothing was written", err=True)
+        click.echo(f"flaxscale: {out}: the folder is not empty; nothing was written", err=True)
         sys.exit(BAD)
     run = DayRun(found, seed, out, logger("info", None))
     service.run(run.run())
@@ -44,19 +47,22 @@
 @click.command("check")
 @click.argument("folder", type=click.Path())
 @click.option(
-    "--timeline/--no-timeline", "show_timeline", default=False, help="Print what came when beside what broke."
+    "--timeline/--no-timeline", "show_timeline", default=False, help="Print the events by time, with the violations."
 )
 def check_command(folder, show_timeline):
-    """Judge the six rules, what is promised of work in hand, and what was done under leases, by FOLDER's records."""
+    """Check the six rules, the promises for set-ups and sessions, and the work under leases by FOLDER's records."""
     sys.exit(report_day(folder, show_timeline))
 
 
 def report_day(folder, show_timeline):
-    """show_timeline: the time line too; None: where a rule broke."""
+    """Prints the verdict on the records of a folder; returns the exit status.
+
+    show_timeline: print the timeline too; None: only where a rule or promise was broken.
+    """
     try:
         verdict, unkept = check(folder), [*promises(folder), *duties(folder)]
-    except RecordError as bad:
-        click.echo(f"flaxscale: {bad}", err=True)
+    except RecordError as error:
+        click.echo(f"flaxscale: {error}", err=True)
         return BAD
     if show_timeline or show_timeline is None and (verdict.breaks or unkept):
         for at, text in timeline.lines(folder, [*verdict.breaks, *unkept]):
@@ -76,24 +82,24 @@
 
 @click.group()
 def config():
-    """Look at configuration."""
+    """Inspect configuration files."""
 
 
 @config.command("check")
 @click.argument("file", type=click.Path())
 def config_check(file):
-    """Check a site's or a day's FILE."""
+    """Check a site file or a day file."""
 
     def run():
         text = evaluate(file)
         if '"demand"' in text and '"boxes"' in text:
-            found = read_day(file, sockets=None)
+            day_file = read_day(file, sockets=None)
             click.echo(
-                f"{file}: a day of {found.length_s:g} s on {found.site.name}: {len(found.boxes)} boxes, "
-                f"{found.site.managers} managers, {len(found.troubles)} troubles"
+                f"{file}: a day of {day_file.length_s:g} s on {day_file.site.name}: {len(day_file.boxes)} boxes, "
+                f"{day_file.site.managers} managers, {len(day_file.troubles)} troubles"
             )
         else:
-            found = read_site(file)
-            click.echo(f"{file}: the site {found.name}: {len(found.packages)} packages, {len(found.titles)} titles")
+            site = read_site(file)
+            click.echo(f"{file}: the site {site.name}: {len(site.packages)} packages, {len(site.titles)} titles")
 
     site_errors(run)
--- a/flaxscale/rules/audit.py
+++ b/flaxscale/rules/audit.py
@@ -1,11 +1,11 @@
-"""Joins the managers' own accounts with what boxes saw: who acted under which stamp. Imports neither side's code.
-
-Two accounts that share no code path: a box writes with each set-up, claim and order the stamp's number that came with
-it; a manager writes what it did under which. Machines' clocks aren't compared: a number is joined by the action's name,
-and order is that of one manager's own account. What one side lacks is `unknown` where that side may have lost it (its
-account dropped rows or ends before; the whole of a stamp never came) and a contradiction where it can't have. A floor
-holds at a box from the row in which the box wrote it, through all its later starts: what the box let happen after that
-under a version below it is `under floor`, in the order of the box's own file.
+"""Compares the managers' accounts with the boxes' records: who acted under which stamp. Imports neither side's code.
+
+The two sides share no code path. A box records with each set-up, claim and order the stamp number of the request; a
+manager records each action with its stamp number. Clocks of machines aren't compared: rows are joined by the action's
+key, and order is taken from one manager's account alone. An action that one side lacks is `unknown` where that side may
+have lost it (its account dropped rows or ends earlier, or the whole stamp never arrived), and a contradiction
+otherwise. A version floor holds at a box from the row that records it, also after restarts: an action that the box
+allowed after that row under a lower version is `under floor`, in the order of the box's own file.
 """
 
 import json
@@ -17,6 +17,8 @@
 
 
 class Finding(NamedTuple):
+    """One disagreement, or one action that can't be verified."""
+
     what: str  # no stamp, contradiction, back, under floor, unknown
     manager: str
     key: str
@@ -24,29 +26,34 @@
 
 
 class AuditResult(NamedTuple):
+    """The outcome of an audit."""
+
     findings: list
-    agreed: int  # actions on which both accounts say the same
-    actions: int  # that boxes saw
+    agreed: int  # actions on which both sides agree
+    actions: int  # actions that boxes recorded
     stamps: dict  # (manager, life): {number: its fields}
 
     def violations(self):
-        return [f for f in self.findings if f.what != "unknown"]
+        """Returns the findings other than `unknown`."""
+        return [finding for finding in self.findings if finding.what != "unknown"]
 
     def line(self):
-        counts = Counter(f.what for f in self.findings)
-        told = ", ".join(f"{what} {n}" for what, n in sorted(counts.items()))
+        """Returns the summary in one line."""
+        counts = Counter(finding.what for finding in self.findings)
+        listed = ", ".join(f"{what} {n}" for what, n in sorted(counts.items()))
         return f"{self.actions} actions at boxes, {self.agreed} agree with the managers' accounts" + (
-            f"; {told}" if told else ""
+            f"; {listed}" if listed else ""
         )
 
 
 class Account:
-    """One life of a manager by its own account."""
+    """The account of one life of a manager."""
 
     def __init__(self):
         self.actions, self.stamps, self.dropped, self.last_number, self.regressions = {}, {}, False, None, []
 
     def add(self, row):
+        """Takes one row of the account."""
         if row["what"] == "dropped":
             self.dropped = True
         elif row["what"] == "stamp":
@@ -55,32 +62,33 @@
             if self.last_number is not None and row["number"] < self.last_number:
                 self.regressions.append((row["key"], row["number"], self.last_number))
             self.last_number = max(self.last_number or 0, row["number"])
-            # An order may be sent again: each number under which it was counts.
+            # An order may be sent again, under another stamp: all its numbers are kept.
             self.actions.setdefault((ACTION_OF_KIND.get(row["kind"], row["kind"]), row["key"]), []).append(
                 row["number"]
             )
 
     def may_lack(self, number):
-        """Whether rows under this stamp may be gone: dropped, or after its end."""
+        """Returns whether rows under this stamp may be missing: dropped, or after the end of the account."""
         return self.dropped or number >= (self.last_number or 0)
 
 
 ACTION_OF_KIND = {"end": "order", "rung": "order"}
-DONE_ONCE = {"setup"}  # claims and orders are made again under later stamps, which a lost row may tell of
+DONE_ONCE = {"setup"}  # claims and orders may be repeated under later stamps, whose rows may be missing
 
 
 def read_rows(file):
-    out = []
+    """Returns the rows of a file, without lines that aren't JSON."""
+    rows = []
     for line in file.read_bytes().split(b"\n"):
         try:
-            out.append(json.loads(line))
+            rows.append(json.loads(line))
         except ValueError:
-            continue  # a killed process's last line
-    return out
+            continue  # the incomplete last line of a killed process
+    return rows
 
 
 def read_accounts(folder):
-    """{(manager, life): Account} of account-*.jsonl."""
+    """Returns {(manager, life): Account} of account-*.jsonl."""
     lives = {}
     for file in sorted(folder.glob("account-*.jsonl")):
         account = None
@@ -93,36 +101,38 @@
 
 
 def read_box_actions(files):
-    """([(kind, manager, life, key, number)], {(manager, life): {number: [whole_stamps]}}) of what boxes wrote.
+    """Returns ([(kind, manager, life, key, number)], {(manager, life): {number: [stamps]}}) of the boxes' records.
 
-    files: {name: rows}, one a start of a box.
+    files: {name: rows}, one file per start of a box.
     """
-    seen, whole_stamps = [], defaultdict(lambda: defaultdict(list))
+    actions, whole_stamps = [], defaultdict(lambda: defaultdict(list))
     for rows in files.values():
         for row in rows:
             if row["what"] == "stamp":
                 whole_stamps[row["manager"], row["life"]][row["number"]].append(row["stamp"])
             elif row["what"] in BOX_ACTIONS and row.get("manager"):
                 for key in row.get("keys") or [row["key"]]:
-                    seen.append((BOX_ACTIONS[row["what"]], row["manager"], row.get("life", ""), key, row.get("stamp")))
-    return seen, whole_stamps
+                    actions.append(
+                        (BOX_ACTIONS[row["what"]], row["manager"], row.get("life", ""), key, row.get("stamp"))
+                    )
+    return actions, whole_stamps
 
 
 class BoxFloor:
-    """A box's floor as its own rows tell it, by start after start."""
+    """A box's version floor by its own records, across its starts."""
 
     def __init__(self):
         self.epoch, self.floor, self.earlier = "", 0, set()
 
     def add(self, row):
-        """Never lower within an epoch, whatever a later start says."""
+        """Takes a floor row. Within an epoch the floor never falls, whatever a later start records."""
         if row["epoch"] != self.epoch:
             self.earlier = {*self.earlier, self.epoch, *row["earlier"]} - {"", row["epoch"]}
             self.epoch, self.floor = row["epoch"], 0
         self.floor = max(self.floor, row["floor"])
 
     def is_below(self, stamp):
-        """Whether this stamp is under the floor; None where that can't be told."""
+        """Returns whether this stamp is below the floor; None where that is unknown."""
         if not self.floor:
             return False
         if stamp is None:
@@ -134,7 +144,7 @@
 
 
 def box_starts(files):
-    """[(box, name, rows)] of all starts of boxes, each box's in their order."""
+    """Returns [(box, file name, rows)] of all starts of boxes, ordered by box and time."""
     first = {name: next((row for row in rows if row["what"] == "start"), None) for name, rows in files.items()}
     return [
         (start["box"], name, files[name])
@@ -146,7 +156,7 @@
 
 
 def floor_breaches(files, stamps):
-    """Findings: what boxes let happen under their floor."""
+    """Returns findings for actions that boxes allowed below their floor."""
     out, floors = [], defaultdict(BoxFloor)
     for box, name, rows in box_starts(files):
         box_floor, setups = floors[box], {}
@@ -171,7 +181,7 @@
             if row["what"] == "floor":
                 box_floor.add(row)
             elif row["what"] == "setup" and row.get("manager"):
-                # As the floor stood when it came: it may rise while the set-up is worked on.
+                # Judged by the floor at its arrival, which may rise while the set-up runs.
                 setups[row["key"]] = row, box_floor.epoch, box_floor.floor
             elif row["what"] == "answer" and row["status"] == 201 and row["key"] in setups:
                 setup, epoch, floor = setups[row["key"]]
@@ -187,20 +197,27 @@
 def judge(folder, account_folder=None):
     """Compares the boxes' records in a folder with the managers' accounts there or in account_folder."""
     files = {file.name: read_rows(file) for file in sorted(pathlib.Path(folder).glob("box-*.jsonl"))}
-    lives, (seen, whole_stamps) = read_accounts(pathlib.Path(account_folder or folder)), read_box_actions(files)
+    lives, (actions, whole_stamps) = read_accounts(pathlib.Path(account_folder or folder)), read_box_actions(files)
     findings, agreed, stamps = [], 0, {}
     for manager, life in sorted({*lives, *whole_stamps}):
         account = lives.get((manager, life))
-        told = {n: rows for n, rows in whole_stamps.get((manager, life), {}).items()}
-        for number, rows in sorted(told.items()):
-            said = [*rows, *([account.stamps[number]] if account and number in account.stamps else [])]
-            if any(one != said[0] for one in said):
-                findings.append(Finding("contradiction", manager, f"stamp {number}", f"told in two ways: {said[:2]}"))
-        stamps[manager, life] = {**{n: rows[0] for n, rows in told.items()}, **(account.stamps if account else {})}
+        box_stamps = {number: rows for number, rows in whole_stamps.get((manager, life), {}).items()}
+        for number, rows in sorted(box_stamps.items()):
+            copies = [*rows, *([account.stamps[number]] if account and number in account.stamps else [])]
+            if any(copy != copies[0] for copy in copies):
+                findings.append(
+                    Finding(
+                        "contradiction", manager, f"stamp {number}", f"recorded with different contents: {copies[:2]}"
+                    )
+                )
+        stamps[manager, life] = {
+            **{number: rows[0] for number, rows in box_stamps.items()},
+            **(account.stamps if account else {}),
+        }
         for key, number, before in account.regressions if account else ():
             findings.append(Finding("back", manager, key, f"done under stamp {number} after {before} in life {life}"))
     findings += floor_breaches(files, stamps)
-    for kind, manager, life, key, number in seen:
+    for kind, manager, life, key, number in actions:
         account = lives.get((manager, life))
         if number is None:
             findings.append(Finding("no stamp", manager, key, f"{kind} of life {life or '?'} came without one"))
@@ -230,4 +247,4 @@
             findings.append(
                 Finding("contradiction", manager, key, f"{kind} under stamp {number} by its box, none by the manager")
             )
-    return AuditResult(findings, agreed, len(seen), stamps)
+    return AuditResult(findings, agreed, len(actions), stamps)
--- a/flaxscale/rules/duties.py
+++ b/flaxscale/rules/duties.py
@@ -1,12 +1,12 @@
-"""Judges what was done under leases, from the records of what was acted on alone: the service's and the boxes'.
+"""Checks the work done under leases, from the records of the resources alone: the catalogue service and the boxes.
 
-- **One at a time**: at one resource the tokens of a piece never go back, and none is taken for two owners. So no act of
-  an earlier holder takes effect after one of a later.
-- **Done again**: where the manager that acted last was killed, another acts within what is promised: the grant that is
-  waited out, detection, an asking, a period. Time in which the service was away, stood still or had just started counts
-  not, and neither does what the day's end cut off.
+- **One at a time**: at one resource the tokens of a piece never decrease, and no token is used by two owners. So no
+  action of an earlier holder takes effect after one of a later holder.
+- **Done again**: where the manager that acted last was killed, another one acts within the promised time: the rest of
+  the grant, failure detection, a lease request, one period. Time in which the service was down, stalled or had just
+  started is not counted, nor is an interval that the end of the day cut off.
 
-Times are tenths of a millisecond of the machine's monotonic clock.
+Times are in tenths of a millisecond of the machine's monotonic clock.
 """
 
 import pathlib
@@ -16,14 +16,12 @@
 from .records import read_rows
 
 NAMES = {9: "one at a time", 10: "done again"}
-DETECTION_TIME, REQUEST_TIME = (
-    60_000,
-    60_000,
-)  # a death is known to all; an asking that was just refused, and its answer
+DETECTION_TIME = 60_000  # tenths of a millisecond until all managers know of a death
+REQUEST_TIME = 60_000  # tenths of a millisecond for a lease request that was just refused, its repetition and answer
 
 
 def duties(folder):
-    """Breaks, with the numbers of NAMES; none where no duty was on."""
+    """Returns violations with the numbers of NAMES; none where no duties were enabled."""
     folder = pathlib.Path(folder)
     lab = read_rows(folder / "lab.jsonl")
     service = read_rows(folder / "catalogue.jsonl") if (folder / "catalogue.jsonl").exists() else []
@@ -39,6 +37,7 @@
 
 
 def one_at_a_time(resource, acts):
+    """Returns violations by the actions at one resource."""
     last, owners, breaks = {}, {}, []
     for act in acts:
         piece, token, owner = act["piece"], act["token"], act["owner"]
@@ -53,7 +52,7 @@
 
 
 def outage_spans(lab, service):
-    """Spans in which the service could grant nothing: until its start counts as over."""
+    """Returns the spans in which the service could grant no leases, up to the end of its start phase."""
     starts = [(r["at"], r["opens"]) for r in service if r["what"] == "leases"]
     spans = [(at, at + opens) for at, opens in starts[1:]]
     for r in lab:
@@ -67,7 +66,7 @@
 
 
 def covered_time(spans, first, last):
-    """How much of first to last lies in any of the spans."""
+    """Returns how much of the time from first to last lies in any of the spans."""
     total, at = 0, first
     for began, ended in sorted(spans):
         began, ended = max(began, at), min(ended, last)
@@ -78,6 +77,7 @@
 
 
 def done_again(rows, figures, lab, service):
+    """Returns violations where a killed manager's work was not resumed in time. figures: the duties' rows by name."""
     acts = defaultdict(list)
     for r in rows:
         if r["did"] == "act":
@@ -91,9 +91,9 @@
             if not before or piece not in figures or before[-1]["owner"].split(".")[0] != manager:
                 continue
             task = figures[piece]
-            most = round(task["span"] * (1 + task["drift"])) + task["period"] + DETECTION_TIME + REQUEST_TIME
+            allowed = round(task["span"] * (1 + task["drift"])) + task["period"] + DETECTION_TIME + REQUEST_TIME
             following = next((r["at"] for r in done if r["at"] > at), end)
-            late = following - at - covered_time(spans, at, following) - most
+            late = following - at - covered_time(spans, at, following) - allowed
             if late > 0 and following <= end:
                 breaks.append(
                     Break(
--- a/flaxscale/rules/promises.py
+++ b/flaxscale/rules/promises.py
@@ -1,12 +1,13 @@
-"""Judges, from clients' and boxes' records alone, what is promised of work in hand beside the six rules.
+"""Checks, from clients' and boxes' records alone, the promises for pending set-ups and sessions beside the six rules.
 
 - **Taken up once**: no two managers are granted a session under one epoch, and no session's answer is given to two
   viewers.
-- **No orphan**: what stands at a box ends within `limit` of the time from which no client wants it: since its player
-  stopped, or, where no client ever got its answer, since the last try under its client's key (without one: its own) was
-  answered or given up. Time in which the box hung, stood still, or could not be reached by some manager counts not.
+- **No orphan**: a session on a box ends within `orphan_limit` of the time from which no client wants it: since its
+  player stopped, or, where no client received its answer, since the last attempt under its client's key (without a key:
+  its own attempt) was answered or given up. Time in which the box hung or stalled, or in which some manager could not
+  reach it, is not counted.
 
-Times are tenths of a millisecond of the machine's monotonic clock.
+Times are in tenths of a millisecond of the machine's monotonic clock.
 """
 
 import json
@@ -17,17 +18,17 @@
 from .records import NEVER, read_rows, unobservable_spans
 
 NAMES = {7: "taken up once", 8: "no orphan"}
-END_ALLOWANCE = 50_000  # detection of a death, claims, and a box's own turns
+END_ALLOWANCE = 50_000  # tenths of a millisecond: failure detection, claims and the intervals of a box's checks
 
 
 def orphan_limit(site):
-    """How long a session may stand for nobody: what ends it last is its box's own, by media or lease."""
+    """Returns how long an unwanted session may exist: at the latest its box ends it, by its media or lease timeout."""
     fleet = site.get("fleet", {})
     return round(10 * max(fleet.get("media_ms", 30_000), fleet.get("lease_ms", 4_000))) + END_ALLOWANCE
 
 
 class BoxSession:
-    """One session as its box's records have it."""
+    """One session by its box's records."""
 
     __slots__ = "key", "trace", "box", "begun", "over", "ufrag", "claims"
 
@@ -37,7 +38,7 @@
 
 
 def promises(folder):
-    """Breaks, with the numbers of NAMES. Records of a build that does not say when a session begins have none."""
+    """Returns violations with the numbers of NAMES. Builds that don't record the begin of a session have no orphans."""
     folder = pathlib.Path(folder)
     site = json.loads((folder / "day.json").read_text())["site"]
     lab, clients = read_rows(folder / "lab.jsonl"), read_rows(folder / "clients.jsonl")
@@ -69,11 +70,11 @@
                     f"{(min(session.over, end) - until) / 10_000:.1f} s",
                 )
             )
-    return sorted(breaks, key=lambda b: (b.rule, b.at))
+    return sorted(breaks, key=lambda violation: (violation.rule, violation.at))
 
 
 def read_sessions(rows, killed, unreachable):
-    """The sessions of one start of a box; spans in which it hung are added to unreachable."""
+    """Returns the sessions of one start of a box; adds the spans in which it hung to unreachable."""
     box, found, hung = None, {}, None
     for row in rows:
         what, key = row["what"], row.get("key")
@@ -109,7 +110,10 @@
 
 
 def wanted_until(clients):
-    """({ufrag: until when its player wanted it}, waited(trace): when the last try for that viewing was over)."""
+    """Returns ({ufrag: until when its player wanted the session}, last_try_over).
+
+    last_try_over(trace): when the last attempt for that viewing was answered or given up; None for an unknown trace.
+    """
     asked = {r["n"]: r for r in clients if r["what"] == "asked"}
     held = {r["n"]: r["at"] for r in clients if r["what"] == "held"}
     seen = {r["n"]: r for r in clients if r["what"] == "seen"}
@@ -125,16 +129,17 @@
 
 
 def covered_time(spans, since, until):
-    """How much of a time lies in any of these spans."""
+    """Returns how much of the time from since to until lies in any of the spans."""
     total, at = 0, since
-    for a, b in sorted(spans):
-        a, b = max(a, at), min(b, until)
-        if a < b:
-            total, at = total + b - a, b
+    for first, last in sorted(spans):
+        first, last = max(first, at), min(last, until)
+        if first < last:
+            total, at = total + last - first, last
     return total
 
 
 def taken_up_twice(sessions, clients):
+    """Returns violations of "taken up once"."""
     breaks, viewers = [], {}
     for session in sessions:
         granted = {}
@@ -146,9 +151,9 @@
     asked = {r["n"]: r.get("key") or r["trace"] for r in clients if r["what"] == "asked"}
     for row in clients:
         if row["what"] == "seen" and row.get("fate") == "plays" and row.get("ufrag") and row["n"] in asked:
-            who = asked[row["n"]]
-            if viewers.setdefault(row["ufrag"], who) != who:
+            viewer = asked[row["n"]]
+            if viewers.setdefault(row["ufrag"], viewer) != viewer:
                 breaks.append(
-                    Break(7, row["at"], f"one session's answer was given to {viewers[row['ufrag']]} and to {who}")
+                    Break(7, row["at"], f"one session's answer was given to {viewers[row['ufrag']]} and to {viewer}")
                 )
     return breaks
--- a/flaxscale/rules/records.py
+++ b/flaxscale/rules/records.py
@@ -1,32 +1,34 @@
-"""Reads the records of a day. The file's name, line and field are named where something can't be used."""
+"""Reads the records of a day. Errors name the file, the line and the field."""
 
 import json
 import pathlib
 from typing import NamedTuple
 
-NEVER = 1 << 62
+NEVER = 1 << 62  # a time after the end of any day
 
 
 class RecordError(Exception):
-    """file, line and what is wrong there."""
+    """A record that can't be used: file, line and the fault."""
 
 
 class ClientRequest(NamedTuple):
+    """One request of a client."""
+
     n: int
     at: int
     manager: str
     title: str
     sends: bool
     trace: str
-    patience: int
-    fate: str | None  # as the client saw it; None: the day ended first
+    patience: int  # tenths of a millisecond
+    fate: str | None  # as the client saw it; None: the day ended before an answer
     status: int
     seen_at: int
-    key: str | None = None  # its client's own, for all its tries
+    key: str | None = None  # the client's key, shared by all its attempts
 
 
 class TuneIn(NamedTuple):
-    """One set-up as the box's socket saw it."""
+    """One set-up as recorded at the box's socket."""
 
     key: str
     trace: str
@@ -35,16 +37,16 @@
     package: str | None
     box: int
     at: int
-    status: int | None  # of the answer; None: none went out
-    ran: bool  # the answer did not prove that it never ran
-    out_until: int  # answered, or its connection closed, or the box died
-    freed_at: int  # its session ended, or its end was ordered, or it never came to one
-    rungs: tuple  # (time, rung), the first at the set-up
-    claims: tuple = ()  # (time, manager, epoch): granted by its box
+    status: int | None  # of the answer; None: no answer was sent
+    ran: bool  # False only where the answer stated that the set-up never ran
+    out_until: int  # when it was answered, its connection closed or the box died
+    freed_at: int  # when its session ended, its end was ordered or the set-up failed
+    rungs: tuple  # (time, rung), the first one from the set-up
+    claims: tuple = ()  # (time, manager, epoch) of claims that the box granted
 
     @property
     def taken(self):
-        """(time, manager) of those who took it over."""
+        """Returns (time, manager) of each takeover."""
         return [(at, manager) for at, manager, _ in self.claims]
 
 
@@ -53,30 +55,32 @@
 
     box: int
     at: int
-    up: int  # how long it had been up then
+    up: int  # how long the box had been up at that time
     slots: int
     fell: int | None
     dead: int
 
 
 class Records(NamedTuple):
+    """The records of a day."""
+
     site: dict
     asked: list
     tune_ins: list
     starts: list
-    told: list  # (time, manager, kind, [(box, state, boot)])
-    kills: dict  # manager: [(killed, back)]
-    stalls: dict  # manager: [(stopped, went on)]
+    told: list  # messages of the box list: (time, manager, kind, [(box, state, boot)])
+    kills: dict  # manager: [(killed, ready again)]
+    stalls: dict  # manager: [(stopped, continued)]
     end: int
-    catalogue: object  # a CatalogueHistory, or None where the day had none
-    hidden: dict  # (manager, box): [(since, until)] in which one's doings reach the other late or never
+    catalogue: object  # a CatalogueHistory, or None where the day had no catalogue
+    hidden: dict  # (manager, box): [(since, until)] in which messages between them are delayed or lost
 
 
 class CatalogueHistory:
-    """What the catalogue said of titles, version by version; what each watcher was told, and said that it took."""
+    """The titles by version of the catalogue, and the versions sent to and acknowledged by each watcher."""
 
     def __init__(self, rows, shared=False):
-        """shared: managers may hand each other what one of them was told."""
+        """shared: managers may pass on to each other the versions that one of them received."""
         self.titles, self.acks, self.told, self.shared = {}, {}, {}, shared
         for row in rows:
             if row["what"] == "version":
@@ -88,28 +92,30 @@
                 self.told.setdefault(row["watcher"], []).append((row["at"], row["version"]))
 
     def version_range(self, manager, since, until):
-        """Versions that a manager may go by: from the last it had said before that it took, to the last it was told.
+        """Returns the versions that a manager may use: (last one that it acknowledged, last one sent to it).
 
-        Between being told and saying so it may go by either. None where it had said nothing before: it may have come
-        with anything.
+        Between a message and its acknowledgement it may use either version. None where it had acknowledged nothing
+        before, as it may have started with any version.
         """
-        before = [v for at, v in self.acks.get(manager, ()) if at <= since]
-        by = [rows for name, rows in self.told.items() if name == manager or self.shared and name[0] == "m"]
-        told = [v for rows in by for at, v in rows if at <= until]
-        return (before[-1], max([before[-1], *told])) if before else None
+        acked = [version for at, version in self.acks.get(manager, ()) if at <= since]
+        sent = [rows for name, rows in self.told.items() if name == manager or self.shared and name[0] == "m"]
+        told = [version for rows in sent for at, version in rows if at <= until]
+        return (acked[-1], max([acked[-1], *told])) if acked else None
 
     def titles_between(self, name, first, last):
-        """What the title was in any version from first to last; None in it where it was not there."""
+        """Returns the title's row in each version from first to last; None for versions without the title."""
         rows = self.titles.get(name, {})
-        start = max((v for v in rows if v <= first), default=None)
-        return [rows[start] if start is not None else None] + [rows[v] for v in rows if first < v <= last]
+        start = max((version for version in rows if version <= first), default=None)
+        return [rows[start] if start is not None else None] + [
+            rows[version] for version in rows if first < version <= last
+        ]
 
 
 def read_rows(file):
-    """The rows of a file; a torn last line of a killed process is passed over, any other bad line is an error."""
+    """Returns the rows of a file. An incomplete last line of a killed process is skipped; any other bad line raises."""
     text = file.read_bytes()
     lines = text.split(b"\n")
-    torn = lines.pop()
+    incomplete = lines.pop()
     out = []
     for number, line in enumerate(lines, 1):
         try:
@@ -118,15 +124,16 @@
         except (ValueError, KeyError, TypeError) as bad:
             raise RecordError(f"{file}: line {number}: not a record with at and what: {bad}") from None
         out.append(row)
-    if torn:
+    if incomplete:
         try:
-            out.append(json.loads(torn))
+            out.append(json.loads(incomplete))
         except ValueError:
             pass
     return out
 
 
 def read(folder):
+    """Reads the records of a day from its folder; raises RecordError."""
     folder = pathlib.Path(folder)
     try:
         day = json.loads((folder / "day.json").read_text())
@@ -148,7 +155,7 @@
         start, made = read_box(file, read_rows(file), killed_boxes)
         starts.append(start)
         tune_ins += made
-    # A viewer's own DELETE, answered, frees its seat at once, however late its box hears of it.
+    # An answered DELETE of the viewer frees its seat at once, even where its box receives the end later.
     deleted = {r["trace"]: r["at"] for r in clients if r["what"] == "deleted"}
     tune_ins = [t._replace(freed_at=max(t.at, min(t.freed_at, deleted.get(t.trace, NEVER)))) for t in tune_ins]
     return Records(
@@ -168,7 +175,7 @@
 
 
 def relaxed_site(site, after):
-    """What binds on a day on which settings changed: of each rule's figure the laxer, as either may be in force."""
+    """Returns the site with the less strict value of each rule where settings changed, as either may be in force."""
     if not after:
         return site
     rules, other, packages = dict(site["rules"]), after["rules"], {}
@@ -194,11 +201,12 @@
 
 
 def manager_spans(lab, begin, finish):
+    """Returns {manager: [(since, until)]} between rows of two kinds."""
     out = {}
     for row in lab:
         if row["what"] == begin and "manager" in row:
             known = out.setdefault(row["manager"], [])
-            if known and known[-1][1] == NEVER:  # struck again before it was back
+            if known and known[-1][1] == NEVER:  # killed or stalled again before it was back
                 known[-1] = known[-1][0], row["at"]
             known.append((row["at"], NEVER))
         elif row["what"] == finish and out.get(row.get("manager")):
@@ -207,15 +215,17 @@
 
 
 def unobservable_spans(lab, managers):
-    """Spans of faults on the way between a manager and a box, in either direction, and of a box that stood still.
+    """Returns the spans of faults on the path between a manager and a box, in either direction, and of stalled boxes.
 
-    What was sent in one is seen by the box at its end: the sockets' records can't tell when it was sent, or given up.
+    A message sent in such a span reaches the box at its end: the sockets' records don't show when it was sent or given
+    up.
     """
     out, open_faults = {}, {}
 
     def pair(way):
-        a, b = way.split(">")
-        manager, box = (a, b) if a[0] == "m" else (b, a)
+        """Returns (manager, box) of a path, None where it doesn't join a manager and a box."""
+        sender, receiver = way.split(">")
+        manager, box = (sender, receiver) if sender[0] == "m" else (receiver, sender)
         return (manager, int(box[1:])) if box[1:].isdigit() and box[0] == "b" and manager[0] == "m" else None
 
     for row in lab:
@@ -242,6 +252,7 @@
 
 
 def read_clients(file, rows):
+    """Returns the clients' requests with their answers."""
     seen, out = {}, []
     for row in rows:
         if row["what"] == "seen":
@@ -270,10 +281,10 @@
 
 
 def read_box(file, rows, killed):
-    """The start of the box that this file is of, and its set-ups."""
+    """Returns the BoxStart that this file records, and its set-ups."""
     first = next((r for r in rows if r["what"] == "start"), None)
     if first is None:
-        raise RecordError(f"{file}: no start of a box")
+        raise RecordError(f"{file}: no row of a box's start")
     box = first["box"]
     dead = min(
         [r["at"] for r in rows if r["what"] == "dead"] + [at for at, b in killed if b == box and at >= first["at"]],
@@ -295,38 +306,40 @@
             }
             continue
         for key in row.get("ends", row["keys"]) if what == "ordered" else [row.get("key")]:
-            m = made.get(key)
-            if m is None:
+            setup = made.get(key)
+            if setup is None:
                 continue
             if what == "answer":
-                m["status"], m["ran"] = row["status"], row["ran"]
-                m["out"] = min(m["out"], row["at"])
+                setup["status"], setup["ran"] = row["status"], row["ran"]
+                setup["out"] = min(setup["out"], row["at"])
                 if row["status"] != 201:
-                    m["freed"] = min(m["freed"], row["at"])
+                    setup["freed"] = min(setup["freed"], row["at"])
             elif what == "closed":
-                m["out"], m["freed"] = min(m["out"], row["at"]), min(m["freed"], row["at"])
+                setup["out"], setup["freed"] = min(setup["out"], row["at"]), min(setup["freed"], row["at"])
             elif what in ("over", "ordered"):
-                m["freed"] = min(m["freed"], row["at"])
+                setup["freed"] = min(setup["freed"], row["at"])
             elif what == "rung":
-                m["rungs"].append((row["at"], row["rung"]))
-            elif what == "adopted" and (row["manager"], row["epoch"]) not in [claim[1:] for claim in m["claims"][-1:]]:
-                m["claims"].append((row["at"], row["manager"], row["epoch"]))
+                setup["rungs"].append((row["at"], row["rung"]))
+            elif what == "adopted" and (row["manager"], row["epoch"]) not in [
+                claim[1:] for claim in setup["claims"][-1:]
+            ]:
+                setup["claims"].append((row["at"], row["manager"], row["epoch"]))
     out = [
         TuneIn(
             key,
-            m["row"]["trace"] or key,
-            m["row"]["manager"],
-            m["row"]["title"],
-            m["row"]["package"],
+            setup["row"]["trace"] or key,
+            setup["row"]["manager"],
+            setup["row"]["title"],
+            setup["row"]["package"],
             box,
-            m["row"]["at"],
-            m["status"],
-            m["ran"],
-            m["out"],
-            max(m["freed"], m["row"]["at"]),
-            tuple(m["rungs"]),
-            tuple(m["claims"]),
+            setup["row"]["at"],
+            setup["status"],
+            setup["ran"],
+            setup["out"],
+            max(setup["freed"], setup["row"]["at"]),
+            tuple(setup["rungs"]),
+            tuple(setup["claims"]),
         )
-        for key, m in made.items()
+        for key, setup in made.items()
     ]
     return BoxStart(box, first["at"], first["up"], first["slots"], fell, dead), out
--- a/tests/test_check.py
+++ b/tests/test_check.py
@@ -1,4 +1,4 @@
-"""The checker must be able to fail: for each rule a kept record of sockets in which that rule alone is broken."""
+"""The checker finds violations: for each rule there are records of sockets in which that rule alone is broken."""
 
 import json
 import pathlib
@@ -13,8 +13,8 @@
 RECORDS = pathlib.Path(__file__).parent / "records"
 
 
-class Judged(unittest.TestCase):
-    def test_every_kept_record_is_judged_as_its_name_says(self):
+class CheckedRecords(unittest.TestCase):
+    def test_every_kept_record_has_the_verdict_that_its_name_states(self):
         seen = set()
         for folder in sorted(RECORDS.iterdir()):
             verdict = check(folder)
@@ -23,14 +23,14 @@
             seen.update(want)
         self.assertEqual({1, 2, 3, 4, 5, 6}, seen)
 
-    def test_the_last_line(self):
+    def test_the_summary_line(self):
         self.assertEqual("rules kept: 6, broken: 0; requests 12, answered once 12", check(RECORDS / "kept").line())
         self.assertEqual(
             "rules kept: 5, broken: 1; requests 13, answered once 12", check(RECORDS / "rule-1-no-answer").line()
         )
 
     def changed(self, name, change):
-        """The verdict on a record of that name after change(folder)."""
+        """Returns the verdict on a copy of that record after change(folder)."""
         with tempfile.TemporaryDirectory() as folder:
             copy = pathlib.Path(folder) / "copy"
             shutil.copytree(RECORDS / name, copy)
@@ -38,13 +38,15 @@
             return check(copy)
 
     def add(self, file, *rows):
+        """Returns a change that appends rows to a file."""
+
         def change(folder):
             with (folder / file).open("a") as out:
                 out.writelines(json.dumps(row) + "\n" for row in rows)
 
         return change
 
-    def test_a_killed_manager_owes_nothing_a_running_one_does(self):
+    def test_no_answer_is_due_from_a_killed_manager_but_from_a_running_one(self):
         kill = {"at": 1_100_000, "what": "kill", "manager": "m0"}
         self.assertEqual([], self.changed("rule-1-no-answer", self.add("lab.jsonl", kill)).breaks)
         for other in ({**kill, "manager": "m1"}, {**kill, "at": 1_300_000}):
@@ -52,15 +54,15 @@
                 [1], [b.rule for b in self.changed("rule-1-no-answer", self.add("lab.jsonl", other)).breaks]
             )
 
-    def test_a_manager_that_came_back_was_told_nothing_yet(self):
+    def test_a_restarted_manager_has_not_been_told_of_a_drain(self):
         kill = {"at": 1_085_000, "what": "kill", "manager": "m0"}
         self.assertEqual([], self.changed("rule-3-drain", self.add("lab.jsonl", kill)).breaks)
 
-    def test_an_unsafe_set_up_that_said_it_never_ran_may_be_repeated(self):
+    def test_an_unsafe_set_up_answered_as_never_run_may_be_repeated(self):
         row = {"at": 1_093_000, "what": "answer", "key": "m0.50.0", "status": 503, "ran": False}
         self.assertEqual([], self.changed("rule-2-unsafe-again", self.add("box-1-1.jsonl", row)).breaks)
 
-    def test_an_unsafe_set_up_under_a_key_whose_first_one_stands_elsewhere_breaks_rule_2(self):
+    def test_a_second_unsafe_set_up_under_one_key_breaks_rule_2_while_the_first_exists(self):
         def change(folder, freed=()):
             asked = [
                 {
@@ -114,7 +116,7 @@
         )
 
     def unkept(self, rows, lab=(), clients=(), media_ms=4_000):
-        """Promises not kept on the kept record, with these rows at box 1."""
+        """Returns (promise, detail) of those not kept on the kept record with these rows added at box 1."""
         with tempfile.TemporaryDirectory() as folder:
             copy = pathlib.Path(folder) / "copy"
             shutil.copytree(RECORDS / "kept", copy)
@@ -134,8 +136,8 @@
             self.add("clients.jsonl", *clients)(copy)
             return [(b.rule, b.detail) for b in promises(copy)]
 
-    def test_a_set_up_that_stands_for_nobody_too_long_is_an_orphan(self):
-        # Its client gave up at 1,200,000; it may stand for 4 s of media and 5 s more: until 1,290,000.
+    def test_a_session_that_no_client_wants_for_too_long_is_an_orphan(self):
+        # The client gave up at 1,200,000. With the media timeout of 4 s and 5 s more the limit is 1,290,000.
         clients = [
             {
                 "at": 1_170_000,
@@ -181,14 +183,14 @@
             [(rule, detail)] = self.unkept(rows, clients=clients)
             self.assertEqual(8, rule)
             self.assertIn("m0.800.0 at box 1 stood for nobody", detail)
-        self.assertEqual([], self.unkept(set_up[:1], clients=clients))  # it never began
-        # Where its box hung for two seconds nobody could end it.
+        self.assertEqual([], self.unkept(set_up[:1], clients=clients))  # the set-up never began
+        # The box hung for two seconds, in which nobody could end the session.
         hung = [
             {"at": 1_210_000 + 20_000 * n, "what": "trouble", "box": 1, "name": "hang", "value": 1 - n} for n in (0, 1)
         ]
         self.assertEqual([], self.unkept([*set_up, *hung, over(1_309_000)], clients=clients))
         self.assertEqual([8], [rule for rule, _ in self.unkept([*set_up, *hung, over(1_312_000)], clients=clients)])
-        # A try under the same key that is still waiting may join it yet.
+        # An attempt under the same key that still waits may take the session over.
         again = [
             {**clients[0], "key": "k"},
             clients[1],
@@ -196,7 +198,7 @@
         ]
         self.assertEqual([], self.unkept(set_up, clients=again))
 
-    def test_what_plays_is_no_orphan_until_its_player_stops(self):
+    def test_a_playing_session_is_no_orphan_until_its_player_stops(self):
         clients = [
             {
                 "at": 1_170_000,
@@ -240,7 +242,7 @@
         self.assertEqual([], self.unkept(rows, clients=clients))
         held = {"at": 1_250_000, "what": "held", "n": 800, "whole": True}
         self.assertEqual([8], [rule for rule, _ in self.unkept(rows, clients=[*clients, held])])
-        # The same answer to somebody else, and one epoch granted twice.
+        # The same answer given to another viewer, and one epoch granted to two managers.
         other = [{**clients[0], "n": 801, "key": "l", "trace": "t801"}, {**clients[1], "n": 801}]
         self.assertEqual([7], [rule for rule, _ in self.unkept(rows, clients=[*clients, *other])])
         claims = [
@@ -253,8 +255,8 @@
         packages = json.loads((folder / "day.json").read_text())["site"]["packages"]
         return next(name for name, row in packages.items() if row["effect"] == "unsafe")
 
-    def test_what_a_killed_manager_left_takes_its_seats_again_from_its_return(self):
-        # Two seats; one plays on from the life before, unclaimed, and two newcomers come: three.
+    def test_sessions_of_a_killed_manager_count_against_its_seats_from_its_restart(self):
+        # Two seats; one session of the previous life plays on unclaimed and two new ones begin: three.
         lab = [{"at": 1_091_500, "what": "kill", "manager": "m0"}, {"at": 1_092_000, "what": "back", "manager": "m0"}]
         self.assertEqual(
             [5], [b.rule for b in self.changed("rule-5-over-the-seats", self.add("lab.jsonl", *lab)).breaks]
@@ -267,8 +269,8 @@
 
         self.assertEqual([], self.changed("rule-5-over-the-seats", ended).breaks)
 
-    def test_what_a_fault_between_both_hides_is_not_judged_by_when_the_box_saw_it(self):
-        # Sent before the manager was told, read when the way was healed; unhidden it is a break.
+    def test_a_set_up_delayed_by_a_fault_is_not_judged_by_its_arrival(self):
+        # Sent before the manager was told, received when the path had healed; without the fault it is a violation.
         late = [
             {"at": 1_080_000, "what": "fault", "n": 0, "kind": "cut", "ways": ["m0>b1", "m0>b2"]},
             {"at": 1_099_000, "what": "heal", "n": 0, "ways": ["m0>b1", "m0>b2"]},
@@ -285,8 +287,8 @@
         ]
         self.assertEqual([], self.changed("rule-3-drain", self.add("lab.jsonl", *stalled)).breaks)
 
-    def test_a_claim_is_judged_by_the_seats_of_its_time_not_of_the_set_up(self):
-        # One seat when both were set up under two managers, two when one of them took the other's over.
+    def test_a_claim_is_judged_by_the_seats_at_its_time_not_at_the_set_up(self):
+        # One seat while both were set up under two managers, two when one of them took over the other's session.
         def change(folder):
             box = (folder / "box-1-1.jsonl").read_text() + (folder / "box-2-1.jsonl").read_text()
             last = [json.loads(row) for row in box.splitlines() if '"m0.51.0"' in row][0]
@@ -327,10 +329,10 @@
         )
         self.assertEqual([], self.changed("rule-6-over-the-budget", self.add("lab.jsonl", *kills)).breaks)
 
-    def test_records_that_cannot_be_read_are_named(self):
+    def test_unreadable_records_are_named_in_the_error(self):
         def torn(folder):
             with (folder / "clients.jsonl").open("a") as out:
-                out.write('{"at": 1, "wh')  # a killed process's last line: passed over
+                out.write('{"at": 1, "wh')  # the incomplete last line of a killed process is skipped
 
         self.assertEqual([], self.changed("kept", torn).breaks)
 
