--- a/flaxscale/cli/audit.py
+++ b/flaxscale/cli/audit.py
@@ -14,9 +14,9 @@
 STAMP_FIELDS = "build", "settings", "list_version", "catalogue", "peaks", "members"
 
 
-def show_findings(judged, as_json):
+def show_findings(result, as_json):
     """Prints the findings: all as JSON lines, at most 50 as text."""
-    for finding in judged.findings[: None if as_json else 50]:
+    for finding in result.findings[: None if as_json else 50]:
         click.echo(
             json.dumps(finding._asdict())
             if as_json
@@ -34,13 +34,13 @@
 @click.option("--json", "as_json", is_flag=True, help="One JSON line per finding, and one with the totals.")
 def day(folder, as_json):
     """Compare managers' accounts and boxes' records of a day in FOLDER; status 4 where they contradict each other."""
-    judged = judge(folder)
-    show_findings(judged, as_json)
+    result = judge(folder)
+    show_findings(result, as_json)
     if as_json:
-        click.echo(json.dumps({"actions": judged.actions, "agreed": judged.agreed, "findings": len(judged.findings)}))
+        click.echo(json.dumps({"actions": result.actions, "agreed": result.agreed, "findings": len(result.findings)}))
     else:
-        click.echo(judged.line())
-    sys.exit(CONTRADICTED if judged.violations() else 0)
+        click.echo(result.line())
+    sys.exit(CONTRADICTED if result.violations() else 0)
 
 
 @audit.command()
@@ -48,7 +48,7 @@
 @click.option("--records", "folder", required=True, type=click.Path(exists=True, path_type=pathlib.Path))
 def viewing(name, folder):
     """Show all actions for viewings and set-ups whose key begins with NAME, with the versions in force."""
-    judged, found = judge(folder), 0
+    result, found = judge(folder), 0
     for file in sorted(folder.glob("account-*.jsonl")):
         life = None
         for text in file.read_text().splitlines():
@@ -56,7 +56,7 @@
             life = (row["manager"], row["life"]) if row["what"] == "life" else life
             if row["what"] == "did" and row["key"].startswith(name):
                 found += 1
-                stamp = judged.stamps.get(life, {}).get(row["number"])
+                stamp = result.stamps.get(life, {}).get(row["number"])
                 place = f" at box {row['box']}" if row["box"] else ""
                 click.echo(
                     f"{life[0]} {row['kind']} {row['key']}{place}, stamp {row['number']}: "
--- a/flaxscale/rules/check.py
+++ b/flaxscale/rules/check.py
@@ -137,27 +137,27 @@
     effects = {name: row["effect"] for name, row in records.site["packages"].items()}
     request_by_trace = {request.trace: request for request in records.asked}
     for tune_in in records.tune_ins:
-        if any(two[2] <= one[2] for one, two in zip(tune_in.claims, tune_in.claims[1:])):
+        if any(later[2] <= earlier[2] for earlier, later in zip(tune_in.claims, tune_in.claims[1:])):
             breaks.append(
                 Break(2, tune_in.claims[-1][0], f"{tune_in.key}: taken over twice under one epoch: {tune_in.claims}")
             )
         by_trace[tune_in.trace].append(tune_in)
     breaks += unsafe_under_one_key(records, by_trace, effects)
     for trace, made in by_trace.items():
-        for one, two in zip(made, made[1:]):
-            if two.at + SOCKET_SLACK < certainly_open_until(records, one):
-                breaks.append(Break(2, two.at, f"{trace}: two tune-ins out, {one.key} and {two.key}"))
+        for earlier, later in zip(made, made[1:]):
+            if later.at + SOCKET_SLACK < certainly_open_until(records, earlier):
+                breaks.append(Break(2, later.at, f"{trace}: two tune-ins out, {earlier.key} and {later.key}"))
             # `ran` is False only where the answer stated that the set-up never ran.
-            if effects.get(two.package) == "unsafe" and one.ran:
-                breaks.append(Break(2, two.at, f"{trace}: {two.key} after {one.key}, which may have run"))
-        asked = request_by_trace.get(trace)
+            if effects.get(later.package) == "unsafe" and earlier.ran:
+                breaks.append(Break(2, later.at, f"{trace}: {later.key} after {earlier.key}, which may have run"))
+        request = request_by_trace.get(trace)
         if (
-            asked
-            and asked.fate == "blocked"
+            request
+            and request.fate == "blocked"
             and effects.get(made[-1].package) == "unsafe"
             and any(tune_in.ran for tune_in in made)
         ):
-            breaks.append(Break(2, asked.at, f"{trace}: blocked although {made[-1].key} may have run"))
+            breaks.append(Break(2, request.at, f"{trace}: blocked although {made[-1].key} may have run"))
     return breaks
 
 
@@ -173,9 +173,9 @@
             ]
     for key, rows in made.items():
         rows = sorted(set(rows), key=lambda tune_in: tune_in.at)
-        for one, two in zip(rows, rows[1:]):
-            if two.at + SOCKET_SLACK < one.freed_at:
-                breaks.append(Break(2, two.at, f"{two.key} under the client's key {key} while {one.key} stood"))
+        for earlier, later in zip(rows, rows[1:]):
+            if later.at + SOCKET_SLACK < earlier.freed_at:
+                breaks.append(Break(2, later.at, f"{later.key} under the client's key {key} while {earlier.key} stood"))
     return breaks
 
 
@@ -195,30 +195,30 @@
         + [(earliest_sent_at(records, tune_in), 1, ("tune-in", tune_in, None, None)) for tune_in in records.tune_ins],
         key=lambda event: event[:2],
     )
-    for at, _, (what, who, kind, boxes) in events:
+    for at, _, (what, subject, kind, boxes) in events:
         if what == "kill":  # a restarted manager has not been told anything yet
-            unavailable_since.pop(who, None)
-            known.pop(who, None)
+            unavailable_since.pop(subject, None)
+            known.pop(subject, None)
         elif what == "told":
-            named = set()
+            listed = set()
             for box, state, _ in boxes:
-                named.add(box)
+                listed.add(box)
                 if state == "ready":
-                    unavailable_since[who].pop(box, None)
+                    unavailable_since[subject].pop(box, None)
                 else:
-                    unavailable_since[who].setdefault(box, at)
+                    unavailable_since[subject].setdefault(box, at)
             if kind == "full":
-                for box in known[who] - named:
-                    unavailable_since[who].setdefault(box, at)
-            known[who] |= named
+                for box in known[subject] - listed:
+                    unavailable_since[subject].setdefault(box, at)
+            known[subject] |= listed
         else:
-            since = unavailable_since[who.manager].get(who.box)
+            since = unavailable_since[subject.manager].get(subject.box)
             if since is not None and at > since + grace + SOCKET_SLACK:
                 breaks.append(
                     Break(
                         3,
                         at,
-                        f"{who.key} to box {who.box} {(at - since) / 10:.0f} ms after {who.manager} "
+                        f"{subject.key} to box {subject.box} {(at - since) / 10:.0f} ms after {subject.manager} "
                         "was told that it drains or is gone",
                     )
                 )
@@ -364,24 +364,28 @@
     if not further:
         return []
     span, breaks = round(further["span_ms"] * 10), []
-    made, taken, first = defaultdict(list), defaultdict(list), set()
+    made, accepted_at, first = defaultdict(list), defaultdict(list), set()
     for tune_in in records.tune_ins:
         if tune_in.trace in first:
             made[tune_in.manager].append(tune_in.at)
         first.add(tune_in.trace)
     for request in records.asked:
         if request.fate not in ("unreached", "sent_on"):
-            taken[request.manager].append(request.at)
+            accepted_at[request.manager].append(request.at)
     for manager, times in made.items():
         for n, at in enumerate(times):
             # Counted from the start of the process: a restarted manager has no record of earlier tune-ins.
             started_at = max((killed for killed, _ in records.kills.get(manager, ()) if killed < at), default=0)
             count = sum(1 for other in times[: n + 1] if other > max(started_at, at - span))
-            took = sum(1 for other in taken[manager] if max(started_at, at - span - SOCKET_SLACK) < other <= at)
-            if count > further["free"] + further["share"] * took:
+            accepted = sum(
+                1 for other in accepted_at[manager] if max(started_at, at - span - SOCKET_SLACK) < other <= at
+            )
+            if count > further["free"] + further["share"] * accepted:
                 breaks.append(
                     Break(
-                        6, at, f"{manager}: {count} further tune-ins within {span / 10:.0f} ms, {took} viewings taken"
+                        6,
+                        at,
+                        f"{manager}: {count} further tune-ins within {span / 10:.0f} ms, {accepted} viewings taken",
                     )
                 )
                 break
--- a/flaxscale/rules/promises.py
+++ b/flaxscale/rules/promises.py
@@ -99,7 +99,8 @@
         elif what == "adopted":
             found[key].claims.append((row["at"], row["manager"], row["epoch"]))
     dead = min(
-        [r["at"] for r in rows if r["what"] == "dead"] + [at for at, b in killed if b == box and at >= began],
+        [r["at"] for r in rows if r["what"] == "dead"]
+        + [at for at, killed_box in killed if killed_box == box and at >= began],
         default=NEVER,
     )
     if hung is not None:
@@ -115,17 +116,17 @@
     last_try_over(trace): when the last attempt for that viewing was answered or given up; None for an unknown trace.
     """
     asked = {r["n"]: r for r in clients if r["what"] == "asked"}
-    held = {r["n"]: r["at"] for r in clients if r["what"] == "held"}
+    stopped_at = {r["n"]: r["at"] for r in clients if r["what"] == "held"}
     seen = {r["n"]: r for r in clients if r["what"] == "seen"}
-    wanted, tries, of_trace = {}, defaultdict(list), {}
+    wanted, tries, group_of_trace = {}, defaultdict(list), {}
     for n, row in asked.items():
         group = row.get("key") or row["trace"]
-        of_trace[row["trace"]] = group
+        group_of_trace[row["trace"]] = group
         tries[group].append(seen[n]["at"] if n in seen else NEVER)
-        got = seen.get(n, {})
-        if got.get("fate") == "plays" and got.get("ufrag"):
-            wanted[got["ufrag"]] = max(wanted.get(got["ufrag"], 0), held.get(n, NEVER))
-    return wanted, lambda trace: max(tries[of_trace[trace]]) if trace in of_trace else None
+        seen_row = seen.get(n, {})
+        if seen_row.get("fate") == "plays" and seen_row.get("ufrag"):
+            wanted[seen_row["ufrag"]] = max(wanted.get(seen_row["ufrag"], 0), stopped_at.get(n, NEVER))
+    return wanted, lambda trace: max(tries[group_of_trace[trace]]) if trace in group_of_trace else None
 
 
 def covered_time(spans, since, until):
--- a/flaxscale/rules/records.py
+++ b/flaxscale/rules/records.py
@@ -81,7 +81,7 @@
 
     def __init__(self, rows, shared=False):
         """shared: managers may pass on to each other the versions that one of them received."""
-        self.titles, self.acks, self.told, self.shared = {}, {}, {}, shared
+        self.titles, self.acks, self.sent, self.shared = {}, {}, {}, shared
         for row in rows:
             if row["what"] == "version":
                 for name, title in row["titles"].items():
@@ -89,7 +89,7 @@
             elif row["what"] == "ack":
                 self.acks.setdefault(row["watcher"], []).append((row["at"], row["version"]))
             elif row["what"] == "told":
-                self.told.setdefault(row["watcher"], []).append((row["at"], row["version"]))
+                self.sent.setdefault(row["watcher"], []).append((row["at"], row["version"]))
 
     def version_range(self, manager, since, until):
         """Returns the versions that a manager may use: (last one that it acknowledged, last one sent to it).
@@ -98,9 +98,9 @@
         before, as it may have started with any version.
         """
         acked = [version for at, version in self.acks.get(manager, ()) if at <= since]
-        sent = [rows for name, rows in self.told.items() if name == manager or self.shared and name[0] == "m"]
-        told = [version for rows in sent for at, version in rows if at <= until]
-        return (acked[-1], max([acked[-1], *told])) if acked else None
+        sent_rows = [rows for name, rows in self.sent.items() if name == manager or self.shared and name[0] == "m"]
+        received = [version for rows in sent_rows for at, version in rows if at <= until]
+        return (acked[-1], max([acked[-1], *received])) if acked else None
 
     def titles_between(self, name, first, last):
         """Returns the title's row in each version from first to last; None for versions without the title."""
@@ -139,7 +139,7 @@
         day = json.loads((folder / "day.json").read_text())
         site = relaxed_site(day["site"], day.get("after"))
         clients = read_rows(folder / "clients.jsonl")
-        told = read_rows(folder / "boxlist.jsonl")
+        list_rows = read_rows(folder / "boxlist.jsonl")
         lab = read_rows(folder / "lab.jsonl")
     except OSError as bad:
         raise RecordError(f"{bad.filename}: can't be read: {bad.strerror}") from None
@@ -163,7 +163,7 @@
         read_clients(folder / "clients.jsonl", clients),
         sorted(tune_ins, key=lambda t: t.at),
         starts,
-        [(r["at"], r["manager"], r["kind"], [tuple(b) for b in r["boxes"]]) for r in told if r["what"] == "told"],
+        [(r["at"], r["manager"], r["kind"], [tuple(b) for b in r["boxes"]]) for r in list_rows if r["what"] == "told"],
         manager_spans(lab, "kill", "back"),
         manager_spans(lab, "stall", "go_on"),
         end,
@@ -178,14 +178,14 @@
     """Returns the site with the less strict value of each rule where settings changed, as either may be in force."""
     if not after:
         return site
-    rules, other, packages = dict(site["rules"]), after["rules"], {}
-    rules["drain_grace_ms"] = max(rules["drain_grace_ms"], other["drain_grace_ms"])
-    if rules.get("further") and other.get("further"):
-        one, two = rules["further"], other["further"]
+    rules, other_rules, packages = dict(site["rules"]), after["rules"], {}
+    rules["drain_grace_ms"] = max(rules["drain_grace_ms"], other_rules["drain_grace_ms"])
+    if rules.get("further") and other_rules.get("further"):
+        first, second = rules["further"], other_rules["further"]
         rules["further"] = {
-            "free": max(one["free"], two["free"]),
-            "share": max(one["share"], two["share"]),
-            "span_ms": min(one["span_ms"], two["span_ms"]),
+            "free": max(first["free"], second["free"]),
+            "share": max(first["share"], second["share"]),
+            "span_ms": min(first["span_ms"], second["span_ms"]),
         }
     else:
         rules["further"] = None
@@ -205,10 +205,10 @@
     out = {}
     for row in lab:
         if row["what"] == begin and "manager" in row:
-            known = out.setdefault(row["manager"], [])
-            if known and known[-1][1] == NEVER:  # killed or stalled again before it was back
-                known[-1] = known[-1][0], row["at"]
-            known.append((row["at"], NEVER))
+            spans = out.setdefault(row["manager"], [])
+            if spans and spans[-1][1] == NEVER:  # killed or stalled again before it was back
+                spans[-1] = spans[-1][0], row["at"]
+            spans.append((row["at"], NEVER))
         elif row["what"] == finish and out.get(row.get("manager")):
             out[row["manager"]][-1] = (out[row["manager"]][-1][0], row["at"])
     return out
--- a/flaxscale/standins/boxserver.py
+++ b/flaxscale/standins/boxserver.py
@@ -352,9 +352,8 @@
         ]
         if fault == "half":
             self.record.put("lost", key=key)
-            exchange.answered = exchange.streams = (
-                True  # the response never completes; exchange.gone still reports its closing
-            )
+            # The response never completes; exchange.gone still reports its closing.
+            exchange.answered = exchange.streams = True
             exchange.line.write(
                 b"HTTP/1.1 201 Created\r\nLocation: /session/%s\r\nContent-Length: %d\r\n\r\n%s"
                 % (session.name.encode(), len(body), body[: len(body) // 2])
@@ -384,14 +383,14 @@
             raise endpoint.Refusal(404, "no such session here")
         return session
 
-    def handle_patch(self, exchange, want):
+    def handle_patch(self, exchange, message):
         """Handles trickled candidates and ICE restarts."""
         if self.box.trouble.hang:
             return
-        session, fragment = self.find_session(want.name), want.fragment
-        if want.match != "*" and session.etag not in [tag.strip() for tag in want.match.split(",")]:
+        session, fragment = self.find_session(message.name), message.fragment
+        if message.match != "*" and session.etag not in [tag.strip() for tag in message.match.split(",")]:
             raise endpoint.Refusal(412, "the ETag is not the session's", [("ETag", session.etag)])
-        if want.match == "*":  # an ICE restart (RFC 9725, 4.3.3): new credentials, a new ETag
+        if message.match == "*":  # an ICE restart (RFC 9725, 4.3.3): new credentials, a new ETag
             if not fragment.pwd:
                 raise endpoint.Refusal(422, "an ICE restart needs a new ufrag and password")
             self.media_by_ufrag.pop(session.ufrag, None)
@@ -407,9 +406,9 @@
             return
         exchange.respond(204, [("ETag", session.etag)])
 
-    def handle_delete(self, exchange, want):
+    def handle_delete(self, exchange, message):
         """Ends a session at its client's request."""
-        session = self.find_session(want.name)
+        session = self.find_session(message.name)
         self.end_session(session.key, "left")
         exchange.respond(200)
 
--- a/tests/test_check.py
+++ b/tests/test_check.py
@@ -18,9 +18,9 @@
         seen = set()
         for folder in sorted(RECORDS.iterdir()):
             verdict = check(folder)
-            want = [] if folder.name.startswith("kept") else [int(folder.name.split("-")[1])]
-            self.assertEqual(want, sorted({b.rule for b in verdict.breaks}), (folder.name, verdict.breaks))
-            seen.update(want)
+            expected = [] if folder.name.startswith("kept") else [int(folder.name.split("-")[1])]
+            self.assertEqual(expected, sorted({b.rule for b in verdict.breaks}), (folder.name, verdict.breaks))
+            seen.update(expected)
         self.assertEqual({1, 2, 3, 4, 5, 6}, seen)
 
     def test_the_summary_line(self):
@@ -294,7 +294,7 @@
             last = [json.loads(row) for row in box.splitlines() if '"m0.51.0"' in row][0]
             for file in folder.glob("box-*.jsonl"):
                 file.write_text(file.read_text().replace(json.dumps(last), json.dumps({**last, "manager": "m1"})))
-            told = [
+            catalogue_rows = [
                 {
                     "at": 1_093_000,
                     "what": "version",
@@ -309,13 +309,15 @@
                     },
                 }
             ]
-            told += [
+            catalogue_rows += [
                 {"at": 1_093_100 + n, "what": what, "watcher": m, "version": 3}
                 for m in ("m0", "m1")
                 for n, what in enumerate(("told", "ack"))
             ]
-            told += [{"at": 1_070_000, "what": what, "watcher": "m1", "version": 2} for what in ("told", "ack")]
-            self.add("catalogue.jsonl", *sorted(told, key=lambda row: row["at"]))(folder)
+            catalogue_rows += [
+                {"at": 1_070_000, "what": what, "watcher": "m1", "version": 2} for what in ("told", "ack")
+            ]
+            self.add("catalogue.jsonl", *sorted(catalogue_rows, key=lambda row: row["at"]))(folder)
             file = next(f.name for f in folder.glob("box-*.jsonl") if '"m0.51.0"' in f.read_text())
             self.add(file, {"at": 1_098_000, "what": "adopted", "key": "m0.51.0", "manager": "m0", "epoch": 1})(folder)
 
