--- a/flaxscale/model/bound.py
+++ b/flaxscale/model/bound.py
@@ -123,7 +123,7 @@
             )
         )
     boxes_by_id = {
-        id: BoxCapacity(model_box.box.link_now(now), model_box.place.rack, model_box.place.slots)
+        id: BoxCapacity(model_box.box.link_capacity_kb(now), model_box.place.rack, model_box.place.slots)
         for id, model_box in fleet.boxes.items()
         if not model_box.dead and not model_box.box.trouble.hang
     }
--- a/flaxscale/model/fleet.py
+++ b/flaxscale/model/fleet.py
@@ -29,20 +29,20 @@
         """Recomputes the load of the box's link and adds the difference to its rack."""
         if self.counted_load is not None:
             self.fleet.rack_load[self.place.rack] -= self.counted_load
-        self.counted_load = 0.0 if self.dead else self.box.asked()
+        self.counted_load = 0.0 if self.dead else self.box.demand_kb()
         self.fleet.rack_load[self.place.rack] += self.counted_load
 
     def read_rack(self):
-        self.box.rack_others = max(0.0, self.fleet.rack_load[self.place.rack] - self.counted_load)
+        self.box.other_rack_kb = max(0.0, self.fleet.rack_load[self.place.rack] - self.counted_load)
         self.box.uplink_kb = self.fleet.uplinks[self.place.rack]
 
     def delivered(self, now):
         self.read_rack()
-        return 0.0 if self.dead else self.box.delivered(now)
+        return 0.0 if self.dead else self.box.delivered_share(now)
 
     def figures(self, now):
         self.read_rack()
-        return self.box.figures(now)
+        return self.box.load_figures(now)
 
 
 class Fleet:
--- a/flaxscale/model/judge.py
+++ b/flaxscale/model/judge.py
@@ -13,7 +13,7 @@
 from ..hunt import space
 from ..hunt.marks import marks_of
 from ..hunt.search import Outcome
-from ..rules.comeback import WITHIN_S, comes_back
+from ..rules.comeback import RECOVERY_TIME_S, judge_recovery
 from .duties import SERVICE
 from .play import SECOND, Play
 
@@ -72,7 +72,7 @@
         came from managers that knew of its start (the operators' page on the fleet's test); no manager can limit its
         rate for a start that the list has not reported yet.
         """
-        if model_box.box.fallen:
+        if model_box.box.crashed:
             fall_window = round(self.play.day.site.rules.fall_ms * 10)
             known = [
                 informed
@@ -298,7 +298,7 @@
     play.run()
     first, healed = min((row.at_s for row in troubles), default=0), space.healed_at(troubles)
     plays = {s: row.outcomes["plays"] + row.outcomes["late"] for s, row in play.seconds.items()}
-    recovery = comes_back(plays, first, healed, day.length_s) if troubles else None
+    recovery = judge_recovery(plays, first, healed, day.length_s) if troubles else None
     # Deaths, claims and leases count as states that a day reached, like answers.
     process_events = defaultdict(Counter)
     for time, what, *rest in play.records:
@@ -310,14 +310,14 @@
     totals = play.totals()
     counts = Counter(totals["fates"]) + Counter({f"tune-in {how}": n for how, n in totals["tune_ins"].items()})
     counts += sum(process_events.values(), Counter())
-    loss = 0.0 if undisturbed is None else max(0.0, undisturbed - share_of_bound(play, first, healed + WITHIN_S))
+    loss = 0.0 if undisturbed is None else max(0.0, undisturbed - share_of_bound(play, first, healed + RECOVERY_TIME_S))
     violations = checker.all_violations()
     return Outcome(
         violations,
-        recovery and recovery.back,
+        recovery and recovery.recovered,
         round(loss, 4),
         marks_of(troubles, counts, seconds) | {f"broke {kind}" for kind, _ in violations},
-    ), {**totals, "said": recovery.said if recovery else ""}
+    ), {**totals, "said": recovery.summary if recovery else ""}
 
 
 def day_with(day, troubles):
--- a/flaxscale/model/play.py
+++ b/flaxscale/model/play.py
@@ -18,7 +18,7 @@
 from ..peaks.keeper import PeakEnvironment, PeakReserver, bandwidth_function
 from ..run import AnswerKind
 from ..site.terms import ManagerSite
-from ..standins.box import site_of
+from ..standins.box import site_settings
 from .bound import bound_of_play
 from .duties import SERVICE, CatalogueService
 from .fleet import Fleet
@@ -158,7 +158,7 @@
         self.packages = list(day.site.packages.values())
         self.package_names = list(day.site.packages)
         self.package_numbers = sense.packages
-        self.fleet = Fleet(self.world, day, site_of(day.site), sense, self.send)
+        self.fleet = Fleet(self.world, day, site_settings(day.site), sense, self.send)
         self.ways, self.held_messages, self.last_arrival, self.fault_count = Ways(), {}, {}, 0
         self.outages = Counter()  # by process: number of active troubles that keep it down
         self.faults, self.seconds, self.viewing_count = [], defaultdict(SecondRow), 0
@@ -790,7 +790,7 @@
                     for session in model_box.box.sessions.values()
                     if session.title not in titles and session.package not in peak.packages
                 )
-                free += max(0.0, model_box.box.link_now(now) - others)
+                free += max(0.0, model_box.box.link_capacity_kb(now) - others)
         row.free[peak.name] = free
 
     def session_kb(self, session):
--- a/flaxscale/model/takeover.py
+++ b/flaxscale/model/takeover.py
@@ -213,7 +213,7 @@
                         session.manager,
                         model_box.box.fence.epoch(key),
                         session.rung,
-                        now - session.began,
+                        now - session.started_at,
                         viewing.playing and not viewing.ended,
                         viewing,
                     )
--- a/tests/test_among.py
+++ b/tests/test_among.py
@@ -128,7 +128,7 @@
             out = pathlib.Path(folder) / "out"
             done = flaxscale("day", str(file), "--seed", "3", "--out", str(out))
             self.assertEqual(0, done.returncode, done.stdout + done.stderr)
-            self.assertEqual([], judge_accounts(out).bad())
+            self.assertEqual([], judge_accounts(out).violations())
             by_processes = self.process_results(out)
             play = Play(read_day(str(file), sockets=False), 3)
             checker = RuleChecker(play)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -132,7 +132,7 @@
 class Clients(Rig):
     async def test_a_retry_with_the_same_key_joins_its_first_attempt(self):
         for box in (1, 2, 3):
-            self.boxes[box].box.work = 1500
+            self.boxes[box].box.setup_time = 1500
         wish = self.wish(key="k1", viewer="anna")
         data = self.post(wish)
         one, two = await asyncio.gather(self.raw(data), self.raw(data))
@@ -153,7 +153,7 @@
 
     async def test_a_viewer_who_leaves_in_the_middle_of_a_set_up(self):
         for box in (1, 2, 3):
-            self.boxes[box].box.work = 8000
+            self.boxes[box].box.setup_time = 8000
         seen = await self.ask(leaves=0.3)
         self.assertEqual("left", seen.fate)
         box = next(n for n in (1, 2, 3) if self.setups(n))
@@ -249,7 +249,7 @@
         seen = await asyncio.gather(*crowd)
         # new managers limit their rate at all boxes that they know
         self.assertLessEqual({s.fate for s in seen}, {"plays", "blocked"})
-        self.assertFalse(self.boxes[1].box.fallen)
+        self.assertFalse(self.boxes[1].box.crashed)
         self.assertLess(len(self.setups(1)), 15)
 
 
@@ -433,7 +433,7 @@
         self.assertEqual("late", json.loads(seen.body)["why"])
 
     async def test_a_box_stops_a_set_up_when_its_stated_patience_ends(self):
-        self.boxes[1].box.work = 30_000
+        self.boxes[1].box.setup_time = 30_000
         answered = asyncio.get_running_loop().create_future()
         wish = self.wish()
         self.player.pool.send(
@@ -456,7 +456,7 @@
         # Clients leave only after all set-ups are out: with a fixed delay, on a slow machine some were gone before the
         # front had read their requests.
         for box in self.boxes.values():
-            box.box.work = 400_000
+            box.box.setup_time = 400_000
         connections = [await asyncio.open_connection(*self.fronts[0].address) for _ in range(12)]
         for _, writer in connections:
             writer.write(self.post(self.wish("one", patience=40.0)))
