--- a/bench/hunt.py
+++ b/bench/hunt.py
@@ -21,7 +21,7 @@
 
 from bench.front import machine
 from flaxscale.decide import Manager
-from flaxscale.hunt.marks import name_of
+from flaxscale.hunt.marks import trouble_name
 from flaxscale.interface import ServerStatus
 from flaxscale.lab.hunts import Hunting
 from flaxscale.lab.shapes import read_day
@@ -247,7 +247,7 @@
             nonlocal stayed
             stayed += played.outcome.back is False
             broke.update(kind for kind, _ in played.outcome.breaks)
-            for what in {name_of(row) for row in played.troubles}:
+            for what in {trouble_name(row) for row in played.troubles}:
                 loss[what].append(played.outcome.loss)
 
         hunting.run(budget, said)
--- a/flaxscale/cli/hunt.py
+++ b/flaxscale/cli/hunt.py
@@ -1,4 +1,4 @@
-"""flaxscale hunt: search for the day that hurts most."""
+"""flaxscale hunt: searches for the troubles that harm a day's fleet most."""
 
 import os
 import sys
@@ -12,31 +12,34 @@
 from . import BAD, BROKEN, site_errors
 
 
-def told(p):
+def describe(play):
+    """One line about a play: number, seed, result and troubles."""
     names = [
         f"{row.what}{' ' + row.kind if row.what in ('way', 'disk') else ''} {row.at_s:g}+{row.for_s:g}"
-        for row in p.troubles
+        for row in play.troubles
     ]
-    what = ", ".join(sorted({kind for kind, _ in p.outcome.breaks})) or (
-        "does not come back" if p.outcome.back is False else f"loses {p.outcome.loss:.1%}"
+    result = ", ".join(sorted({kind for kind, _ in play.outcome.breaks})) or (
+        "does not come back" if play.outcome.back is False else f"loses {play.outcome.loss:.1%}"
     )
-    return f"play {p.number}, seed {p.seed}: {what}; {', '.join(names)}"
+    return f"play {play.number}, seed {play.seed}: {result}; {', '.join(names)}"
 
 
 @click.command()
 @click.argument("file", type=click.Path())
-@click.option("--budget", default=500, show_default=True, help="Days to play in all, whole generations of 16.")
-@click.option("--jobs", default=max(1, (os.cpu_count() or 2) - 2), show_default=True, help="Plays at a time.")
-@click.option("--seed", default=1, show_default=True, help="Of the hunt; with --replay, the day's.")
-@click.option("--seeds", default=3, show_default=True, help="Seeds of the day that plays go through in turn.")
-@click.option("--out", default=None, type=click.Path(), help="Folder of the hunt; one that was stopped goes on there.")
+@click.option(
+    "--budget", default=500, show_default=True, help="Days to play in all, rounded up to whole generations of 16."
+)
+@click.option("--jobs", default=max(1, (os.cpu_count() or 2) - 2), show_default=True, help="Plays to run in parallel.")
+@click.option("--seed", default=1, show_default=True, help="Seed of the hunt; with --replay, seed of the day.")
+@click.option("--seeds", default=3, show_default=True, help="Number of seeds of the day that plays cycle through.")
+@click.option("--out", default=None, type=click.Path(), help="Folder of the hunt; a stopped hunt is resumed from it.")
 @click.option("--on", default="model", type=click.Choice(["model", "processes"]), show_default=True)
-@click.option("--plain", is_flag=True, help="Draw each day anew, learning nothing: for comparison.")
-@click.option("--worst", default=3, show_default=True, help="Days to shrink and keep.")
+@click.option("--plain", is_flag=True, help="Draw each day at random, without guidance, as a baseline.")
+@click.option("--worst", default=3, show_default=True, help="Number of worst days to minimize and write as files.")
 @click.option("--replay", is_flag=True, help="Play FILE itself, in virtual time and by processes.")
 def hunt(file, budget, jobs, seed, seeds, out, on, plain, worst, replay):
-    """Search for troubles on the day of FILE that break a rule, or from which its fleet does not come back, or that
-    cost it most. Exit status 3 where a rule or a promise broke."""
+    """Search for troubles on the day of FILE that break a rule, from which the fleet does not recover, or that cost
+    the most service. Exit status 3 if a rule or a promise was broken."""
     from ..lab import hunts
 
     if replay:
@@ -49,47 +52,48 @@
                 continue
             for kind, text in outcome.breaks:
                 click.echo(f"{player}: {kind}: {text}")
-            back = {True: "came back", False: "did not come back", None: "can't be told whether it came back"}
+            recovery = {True: "recovered", False: "did not recover", None: "recovery undecided"}
             lost = f", loses {outcome.loss:.1%} of what could be served" if player == "virtual time" else ""
-            click.echo(f"{player}: {len(outcome.breaks)} breaks, {back[outcome.back]}{lost}")
+            click.echo(f"{player}: {len(outcome.breaks)} breaks, {recovery[outcome.back]}{lost}")
         if first := hunts.difference(found):
             click.echo(f"the players differ: {first}")
         sys.exit(BROKEN if any(not isinstance(o, str) and o.breaks for o in found.values()) else 0)
     if out is None:
-        raise click.UsageError("--out FOLDER expected, for the hunt's log")
+        raise click.UsageError("--out FOLDER is required: the hunt keeps its log there")
     day = site_errors(lambda: quiet_day(file, on == "processes"))
     try:
         hunting = hunts.Hunting(day, out, seed, jobs, seeds, plain, on == "processes")
-    except (ValueError, OSError) as bad:
-        click.echo(f"flaxscale: {bad}", err=True)
+    except (ValueError, OSError) as error:
+        click.echo(f"flaxscale: {error}", err=True)
         sys.exit(BAD)
     if hunting.resumed:
-        click.echo(f"goes on after {hunting.resumed} plays", err=True)
-    broke = 0
+        click.echo(f"resumed after {hunting.resumed} plays", err=True)
+    broken_plays = 0
 
-    def said(p):
-        nonlocal broke
-        if p.outcome.breaks or p.outcome.back is False:
-            broke += bool(p.outcome.breaks)
-            click.echo(told(p))
+    def report_failure(play):
+        nonlocal broken_plays
+        if play.outcome.breaks or play.outcome.back is False:
+            broken_plays += bool(play.outcome.breaks)
+            click.echo(describe(play))
 
-    hunting.run(budget, said)
+    hunting.run(budget, report_failure)
     plays = hunting.hunt.played
     click.echo(
-        f"{len(plays)} plays of {day.site.name}: {broke} broke something, "
-        f"{sum(p.outcome.back is False for p in plays)} did not come back, "
+        f"{len(plays)} plays of {day.site.name}: {broken_plays} broke something, "
+        f"{sum(play.outcome.back is False for play in plays)} did not come back, "
         f"{len(hunting.hunt.marks)} marks reached"
     )
-    for p in hunting.hunt.worst(worst):
-        small, tries = hunting.smallest(p)
+    for play in hunting.hunt.worst(worst):
+        small, tries = hunting.smallest(play)
         click.echo(
-            f"{told(p)}; {len(p.troubles)} troubles, {len(small)} after {tries} plays: {hunting.keep(p, small, file)}"
+            f"{describe(play)}; {len(play.troubles)} troubles, {len(small)} after {tries} plays: "
+            f"{hunting.keep(play, small, file)}"
         )
-    sys.exit(BROKEN if broke else 0)
+    sys.exit(BROKEN if broken_plays else 0)
 
 
 def quiet_day(file, sockets):
-    """The day without its own troubles, checked for who will play it."""
+    """The day without its own troubles, validated for the player: processes or the model."""
     day = msgspec.structs.replace(read_day(file, sockets=None), troubles=[])
     raise_first_fault(file, faults(day, sockets))
     return day
--- a/flaxscale/hunt/__init__.py
+++ b/flaxscale/hunt/__init__.py
@@ -1,5 +1,6 @@
-"""Searches for the day that hurts a fleet most: which troubles to try, what was reached, what is smallest. No I/O.
+"""Coverage-guided search for the faults that harm a fleet most: generation, coverage, ranking, minimization. No I/O.
 
-`space` draws and changes lists of troubles, `marks` says what a play reached, `search` chooses what to play next and
-ranks what came, `shrink` makes a found day small. lab/hunts.py plays them, in virtual time or by processes.
+`space` draws and mutates lists of troubles, `marks` computes the coverage of a play, `search` chooses the next days to
+play and ranks the outcomes, `shrink` minimizes a day that was found. lab/hunts.py plays the days, in virtual time or
+by processes.
 """
--- a/flaxscale/hunt/shrink.py
+++ b/flaxscale/hunt/shrink.py
@@ -1,24 +1,26 @@
-"""Makes a found list of troubles small, after delta debugging (A. Zeller and R. Hildebrandt, "Simplifying and
-Isolating Failure-Inducing Input", IEEE TSE 28, 2002): first whole troubles go, then those that are left strike fewer,
-and shorter.
+"""Minimizes a list of troubles by delta debugging (A. Zeller and R. Hildebrandt, "Simplifying and Isolating
+Failure-Inducing Input", IEEE TSE 28, 2002): whole troubles are removed first, then each remaining trouble is reduced to
+fewer targets and a shorter time.
 
-A generator: it yields a list, and is sent whether that still shows what was found. It returns the smallest that did.
+The functions are generators: each yields a candidate list and is sent whether the candidate still reproduces the
+finding. Each returns the smallest list that did.
 """
 
 import msgspec
 
-SHORT_S = 0.5
+MIN_DURATION_S = 0.5  # a trouble is not shortened below this
 
 
 def shrink(troubles):
-    """yields lists of troubles, is sent True or False for each; returns the smallest for which it was sent True."""
-    found = yield from fewer(list(troubles))
+    """Yields candidates, is sent True or False for each; returns the smallest that reproduced the finding."""
+    found = yield from remove_troubles(list(troubles))
     for n in range(len(found)):
-        found = yield from smaller(found, n)
+        found = yield from reduce_trouble(found, n)
     return found
 
 
-def fewer(found):
+def remove_troubles(found):
+    """Removes parts of the list, halving their size until no single trouble can be removed."""
     parts = 2
     while len(found) >= 2:
         size = -(-len(found) // parts)
@@ -34,38 +36,38 @@
     return found
 
 
-def smaller(found, n):
-    """Trouble n with half of whom it strikes, healed at once, half as long: as often as it still shows."""
+def reduce_trouble(found, n):
+    """Reduces trouble n step by step, as long as the finding is still reproduced."""
     while True:
-        for row in lesser(found[n]):
-            tried = [*found[:n], row, *found[n + 1 :]]
-            if (yield tried):
-                found = tried
+        for row in reductions_of(found[n]):
+            candidate = [*found[:n], row, *found[n + 1 :]]
+            if (yield candidate):
+                found = candidate
                 break
         else:
             return found
 
 
-def lesser(row):
-    """Troubles that are a little less than this one."""
+def reductions_of(row):
+    """Reductions of a trouble by one step: half the targets, no healing time, no jitter or half the duration."""
 
-    def but(**change):
+    def replaced(**change):
         return msgspec.structs.replace(row, **change)
 
     for key in ("boxes", "managers"):
-        some = getattr(row, key)
-        if some and len(some) > 1:
-            half = len(some) // 2
-            yield but(**{key: some[:half]})
-            yield but(**{key: some[half:]})
+        targets = getattr(row, key)
+        if targets and len(targets) > 1:
+            half = len(targets) // 2
+            yield replaced(**{key: targets[:half]})
+            yield replaced(**{key: targets[half:]})
     for side, names in enumerate(row.between or ()):
         if len(names) > 1:
             half = len(names) // 2
             for part in (names[:half], names[half:]):
-                yield but(between=[*row.between[:side], part, *row.between[side + 1 :]])
+                yield replaced(between=[*row.between[:side], part, *row.between[side + 1 :]])
     if row.heal_s:
-        yield but(heal_s=0)
+        yield replaced(heal_s=0)
     if row.jitter:
-        yield but(jitter=0)
-    if row.for_s > 2 * SHORT_S:
-        yield but(for_s=round(row.for_s / 2, 2))
+        yield replaced(jitter=0)
+    if row.for_s > 2 * MIN_DURATION_S:
+        yield replaced(for_s=round(row.for_s / 2, 2))
--- a/flaxscale/lab/hunts.py
+++ b/flaxscale/lab/hunts.py
@@ -18,8 +18,8 @@
 
 import msgspec
 
-from ..hunt.marks import by_second, marks_of
-from ..hunt.search import SHAPE, Hunt, Outcome
+from ..hunt.marks import counts_by_second, marks_of
+from ..hunt.search import LOG_VERSION, Hunt, Outcome
 from ..hunt.shrink import shrink
 from ..hunt.space import Space
 from ..model.judge import day_with, played, quiet_of
@@ -111,7 +111,7 @@
         for r in rows_of(file)
         if r["what"] in ("adopted", "fenced", "fell", "floor")
     ]
-    seconds = by_second([*seen, *more])
+    seconds = counts_by_second([*seen, *more])
     back = of_day(out)
     counts = sum((came for _, came in seconds), Counter())
     kinds = Counter()
@@ -131,7 +131,7 @@
         self.play = by_processes if sockets else in_model
         self.sockets, self.quiet = sockets, {}
         self.log = Log(Files(self.folder / "log"))
-        head = msgspec.msgpack.encode(Head(SHAPE, self.data, seed, seeds, plain, sockets))
+        head = msgspec.msgpack.encode(Head(LOG_VERSION, self.data, seed, seeds, plain, sockets))
         found = [data for _, data in self.log.found.records]
         if found and found[0] != head:
             raise ValueError(f"{folder}: another hunt is kept there (another day, seed or way to play)")
@@ -151,7 +151,7 @@
                 seeds = range(1, self.hunt.seeds + 1)
                 self.quiet = {seed: quiet_of(self.day, seed) for seed in seeds}
             while len(self.hunt.played) < budget:
-                rows = self.hunt.generation()
+                rows = self.hunt.next_generation()
                 known, self.kept = self.kept[: len(rows)], self.kept[len(rows) :]
                 new = rows[len(known) :]
                 outcomes = [self.again(row, kept) for row, kept in zip(rows, known)]
@@ -161,7 +161,7 @@
                     self.log.append(
                         msgspec.msgpack.encode(
                             Kept(
-                                SHAPE,
+                                LOG_VERSION,
                                 number,
                                 seed,
                                 troubles,
@@ -175,7 +175,7 @@
                     self.log.commit()
                     outcomes.append(outcome)
                 for row, outcome in zip(rows, outcomes):
-                    said(self.hunt.take(*row, outcome))
+                    said(self.hunt.record(*row, outcome))
 
     @staticmethod
     def again(row, kept):
--- a/tests/test_hunt.py
+++ b/tests/test_hunt.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from flaxscale.hunt.marks import marks_of
-from flaxscale.hunt.search import GENERATION, Hunt, Outcome
+from flaxscale.hunt.search import GENERATION_SIZE, Hunt, Outcome
 from flaxscale.hunt.shrink import shrink
 from flaxscale.hunt.space import LEAD_S, Space, healed_at
 from flaxscale.lab import hunts
@@ -37,12 +37,12 @@
         for name, sockets in (("bad-day", False), ("straggler-day", True), ("loss-day", True)):
             day = quiet_day(name)
             space, dice, kinds = Space(day, sockets), Dice(3, name), set()
-            troubles = space.fresh(dice)
+            troubles = space.draw_list(dice)
             for n in range(400):
-                troubles = space.fresh(dice) if n % 9 == 0 else space.changed(troubles, dice)
+                troubles = space.draw_list(dice) if n % 9 == 0 else space.mutate(troubles, dice)
                 self.assertEqual([], faults(msgspec.structs.replace(day, troubles=troubles), sockets), troubles)
                 self.assertTrue(all(row.at_s >= LEAD_S for row in troubles))
-                self.assertLessEqual(max(row.at_s + row.for_s for row in troubles), space.last + 0.01)
+                self.assertLessEqual(max(row.at_s + row.for_s for row in troubles), space.latest_end_s + 0.01)
                 kinds |= {(row.what, row.kind) for row in troubles}
             self.assertLessEqual({(kind, "cut") for kind in space.kinds if kind != "disk"}, kinds)
             self.assertLessEqual({("way", kind) for kind in space.ways}, kinds)
@@ -52,9 +52,9 @@
     def test_the_next_generation_stands_on_what_came_and_a_plain_hunt_learns_nothing(self):
         def lead(plain, marks):
             hunt = Hunt(Space(quiet_day(), False), 5, plain=plain)
-            for row in hunt.generation():
-                hunt.take(*row, nothing(marks=marks if row[0] == 3 else ()))
-            return hunt, hunt.generation()
+            for row in hunt.next_generation():
+                hunt.record(*row, nothing(marks=marks if row[0] == 3 else ()))
+            return hunt, hunt.next_generation()
 
         hunt, with_news = lead(False, ("new",))
         self.assertEqual([3], [p.number for p in hunt.corpus])
@@ -64,11 +64,11 @@
 
     def test_a_broken_rule_ranks_before_a_fleet_that_stays_down_and_that_before_any_loss(self):
         hunt = Hunt(Space(quiet_day(), False), 5)
-        rows = hunt.generation()
+        rows = hunt.next_generation()
         for row, outcome in zip(
             rows, (nothing(0.9), Outcome((), False, 0.0, frozenset()), nothing(breaks=[("rule 1", "x")]), nothing(0.1))
         ):
-            hunt.take(*row, outcome)
+            hunt.record(*row, outcome)
         self.assertEqual([2, 1, 0], [p.number for p in hunt.worst()])
 
     def test_marks_are_of_what_stood_together_and_what_came_meanwhile(self):
@@ -185,19 +185,19 @@
                 hunting.run(budget)
                 return hunting, [(p.number, p.seed, p.troubles, p.outcome, p.new) for p in hunting.hunt.played]
 
-            _, whole = plays("whole", 3, 2 * GENERATION)
-            self.assertEqual(2 * GENERATION, len(whole))
-            plays("stopped", 2, GENERATION)
-            again, rest = plays("stopped", 1, 2 * GENERATION)
-            self.assertEqual((GENERATION, whole), (again.resumed, rest))
+            _, whole = plays("whole", 3, 2 * GENERATION_SIZE)
+            self.assertEqual(2 * GENERATION_SIZE, len(whole))
+            plays("stopped", 2, GENERATION_SIZE)
+            again, rest = plays("stopped", 1, 2 * GENERATION_SIZE)
+            self.assertEqual((GENERATION_SIZE, whole), (again.resumed, rest))
             # Half a generation in the log, as a kill leaves it.
             log = again.log
             for name in log.files.names():
                 data = log.files.read(name)
                 log.files.truncate(name, len(data) * 3 // 4)
             log.files.close(log.segment)
-            after, rest = plays("stopped", 3, 2 * GENERATION)
-            self.assertTrue(GENERATION < after.resumed < 2 * GENERATION)
+            after, rest = plays("stopped", 3, 2 * GENERATION_SIZE)
+            self.assertTrue(GENERATION_SIZE < after.resumed < 2 * GENERATION_SIZE)
             self.assertEqual(whole, rest)
             with self.assertRaisesRegex(ValueError, "another hunt"):
                 Hunting(quiet_day(), f"{folder}/stopped", 5, 1)
