--- a/flaxscale/cli/report.py
+++ b/flaxscale/cli/report.py
@@ -1,4 +1,4 @@
-"""flaxscale report: one HTML page of a day, for who was not there."""
+"""flaxscale report: writes an HTML page of the events of a day from its records."""
 
 import json
 import pathlib
@@ -12,13 +12,13 @@
 @click.command()
 @click.argument("folder", type=click.Path(path_type=pathlib.Path))
 @click.option(
-    "--out", default=None, type=click.Path(path_type=pathlib.Path), help="The page; FOLDER/report.html if left out."
+    "--out", default=None, type=click.Path(path_type=pathlib.Path), help="File to write; FOLDER/report.html by default."
 )
 def report(folder, out):
-    """Write a page of what happened on the day whose records are in FOLDER: processes, who could reach whom, versions,
-    leases, take-overs and answers on one time line."""
+    """Write an HTML page of the day whose records are in FOLDER: processes, unreachable peers, versions, leases,
+    take-overs and answers on one time line."""
     from ..report.page import page
-    from ..report.story import Records, tell
+    from ..report.story import Records, build_story
     from ..rules.audit import judge, rows_of
     from ..rules.check import RULES, check
     from ..rules.comeback import of_day
@@ -28,20 +28,20 @@
     from ..rules.records import RecordError
 
     try:
-        verdict, unkept, back = check(folder), [*promises(folder), *duties(folder)], of_day(folder)
+        verdict, broken_promises, back = check(folder), [*promises(folder), *duties(folder)], of_day(folder)
         day = json.loads((folder / "day.json").read_text())
-    except (RecordError, OSError, ValueError) as bad:
-        click.echo(f"flaxscale: {bad}", err=True)
+    except (RecordError, OSError, ValueError) as error:
+        click.echo(f"flaxscale: {error}", err=True)
         sys.exit(BAD)
     lab, clients = rows_of(folder / "lab.jsonl"), rows_of(folder / "clients.jsonl")
-    began = next((r["at"] for r in lab if r["what"] == "begin"), 0)
-    breaks = [(f"rule {b.rule} ({RULES[b.rule - 1]})", (b.at - began) / 10_000, b.detail) for b in verdict.breaks]
-    breaks += [((NAMES | DUTIES)[b.rule], (b.at - began) / 10_000, b.detail) for b in unkept]
+    start_at = next((row["at"] for row in lab if row["what"] == "begin"), 0)
+    breaks = [(f"rule {b.rule} ({RULES[b.rule - 1]})", (b.at - start_at) / 10_000, b.detail) for b in verdict.breaks]
+    breaks += [((NAMES | DUTIES)[b.rule], (b.at - start_at) / 10_000, b.detail) for b in broken_promises]
     fronts = {f"m{file.stem.partition('-')[2]}": rows_of(file) for file in sorted(folder.glob("front-*.log"))}
     accounts = any(folder.glob("account-*.jsonl"))
     boxes = {file.name: rows_of(file) for file in sorted(folder.glob("box-*.jsonl"))}
     catalogue = folder / "catalogue.jsonl"
-    story = tell(
+    story = build_story(
         Records(
             day,
             lab,
@@ -57,7 +57,9 @@
         file.write_text(
             page(story, clients, sorted(breaks, key=lambda b: b[1]), verdict.line(), back.said if back else "")
         )
-    except OSError as bad:
-        click.echo(f"flaxscale: {file}: can't be written: {bad.strerror}", err=True)
+    except OSError as error:
+        click.echo(f"flaxscale: {file}: can't be written: {error.strerror}", err=True)
         sys.exit(BAD)
-    click.echo(f"{file}: {len(breaks)} breaks, {len(story.take_overs)} taken over, {len(story.twos)} told in two ways")
+    click.echo(
+        f"{file}: {len(breaks)} breaks, {len(story.take_overs)} taken over, {len(story.twos)} conflicting accounts"
+    )
--- a/flaxscale/report/__init__.py
+++ b/flaxscale/report/__init__.py
@@ -1,1 +1,1 @@
-"""One page of an incident, from a day's records: `story` makes lanes and series of rows, `page` draws them."""
+"""An HTML report of a day: `story` computes lanes and series from its records, `page` renders them."""
--- a/flaxscale/report/page.py
+++ b/flaxscale/report/page.py
@@ -1,12 +1,15 @@
-"""Draws a Story as one HTML page that needs nothing else: plots are SVG in it. Text is escaped by the template."""
+"""Renders a Story as one self-contained HTML page with inline SVG plots. The template escapes all text."""
 
 import pathlib
 
 import jinja2
 
-from .story import MOST_ROWS, fates
+from .story import MAX_TABLE_ROWS, fate_counts
 
-WIDTH, LEFT, LANE, CHART = 1160, 260, 17, 120
+WIDTH = 1160  # pixels, of a plot
+LEFT = 260  # pixels, for the lanes' names
+LANE_HEIGHT = 17  # pixels
+CHART_HEIGHT = 120  # pixels
 COLOURS = {
     "dead": "#b22",
     "stands still": "#e8a33d",
@@ -29,23 +32,35 @@
     "503": "#e8a33d",
     "none": "#999",
 }
-MORE = "#1f77b4", "#d98b2b", "#2c8c4a", "#b5453c", "#7d5ba6", "#8c6d5a", "#c86fc9", "#7f7f7f", "#a8a83a", "#3aa8b5"
+OTHER_COLOURS = (
+    "#1f77b4",
+    "#d98b2b",
+    "#2c8c4a",
+    "#b5453c",
+    "#7d5ba6",
+    "#8c6d5a",
+    "#c86fc9",
+    "#7f7f7f",
+    "#a8a83a",
+    "#3aa8b5",
+)
 
 
 class Palette:
-    """One colour a sort, the same all over a page."""
+    """Assigns each kind of span or count one colour for the whole page."""
 
     def __init__(self):
-        self.given = {}
+        self.assigned = {}
 
-    def of(self, what):
-        if what not in COLOURS and what not in self.given:
-            self.given[what] = MORE[len(self.given) % len(MORE)]
-        return COLOURS.get(what) or self.given[what]
+    def colour_of(self, what):
+        """The colour of a kind: a fixed one, else the next free one."""
+        if what not in COLOURS and what not in self.assigned:
+            self.assigned[what] = OTHER_COLOURS[len(self.assigned) % len(OTHER_COLOURS)]
+        return COLOURS.get(what) or self.assigned[what]
 
 
 def page(story, clients, breaks, verdict, back=""):
-    """The page's text. breaks: [(rule, second, detail)]; verdict, back: in words."""
+    """The page's HTML. breaks: [(rule, second, detail)]; verdict, back: sentences on the rules and on recovery."""
     scale, palette = (WIDTH - LEFT) / max(1, story.length), Palette()
 
     def x(second):
@@ -60,13 +75,13 @@
     )
     return env.get_template("page.html.j2").render(
         story=story,
-        fates=sorted(fates(clients).items()),
+        fates=sorted(fate_counts(clients).items()),
         breaks=breaks,
         verdict=verdict,
         back=back,
         width=WIDTH,
         left=LEFT,
-        most=MOST_ROWS,
+        most=MAX_TABLE_ROWS,
         ticks=[(x(n), f"{n} s" if n == 0 else n) for n in range(0, story.length, step)],
         drawn=[(heading, lanes_of(lanes, x, palette)) for heading, lanes in story.lanes],
         charts=[chart_of(chart, x, palette) for chart in story.charts if chart.series],
@@ -74,11 +89,12 @@
 
 
 def lanes_of(lanes, x, palette):
+    """The template's values for one group of lanes."""
     rows, key = [], {}
     for n, lane in enumerate(lanes):
         bars = []
         for span in lane.spans:
-            key[span.what] = palette.of(span.what)
+            key[span.what] = palette.colour_of(span.what)
             bars.append(
                 {
                     "x": x(span.since),
@@ -88,20 +104,21 @@
                 }
             )
         rows.append(
-            {"name": lane.name, "y": n * LANE, "bars": bars, "marks": [(x(at), text) for at, text in lane.marks]}
+            {"name": lane.name, "y": n * LANE_HEIGHT, "bars": bars, "marks": [(x(at), text) for at, text in lane.marks]}
         )
-    return {"height": len(lanes) * LANE + 18, "rows": rows, "key": sorted(key.items())}
+    return {"height": len(lanes) * LANE_HEIGHT + 18, "rows": rows, "key": sorted(key.items())}
 
 
 def chart_of(chart, x, palette):
+    """The template's values for one chart."""
     seconds = max(len(counts) for counts in chart.series.values())
     most = max(sum(counts[s] for counts in chart.series.values()) for s in range(seconds)) or 1
-    bars, room = [], CHART - 20
+    bars, plot_height = [], CHART_HEIGHT - 20
     for s in range(seconds):
-        y = room
+        y = plot_height
         for what, counts in chart.series.items():
             if counts[s]:
-                h = round(room * counts[s] / most, 1)
+                h = round(plot_height * counts[s] / most, 1)
                 y = round(y - h, 1)
                 bars.append(
                     {
@@ -109,14 +126,14 @@
                         "w": max(0.8, round(x(s + 1) - x(s) - 0.6, 1)),
                         "y": y,
                         "h": h,
-                        "fill": palette.of(what),
+                        "fill": palette.colour_of(what),
                         "text": f"{s} s: {what} {counts[s]}",
                     }
                 )
     return {
         "name": chart.name,
-        "height": CHART,
+        "height": CHART_HEIGHT,
         "most": most,
         "bars": bars,
-        "key": [(what, palette.of(what)) for what in chart.series],
+        "key": [(what, palette.colour_of(what)) for what in chart.series],
     }
--- a/flaxscale/report/story.py
+++ b/flaxscale/report/story.py
@@ -1,267 +1,301 @@
-"""What happened on a day, as lanes on one time line: from rows of records, in whatever order they were written. Pure.
+"""The events of a day as lanes on one time line, from rows of records in any order of writing. Pure.
 
-Every row has `at`, tenths of a millisecond of the machine's steady clock, and is placed by that: a record that was
-written an hour late stands where it belongs. Seconds here are those of the day, from its beginning on.
+Every row has `at`, tenths of a millisecond of the machine's steady clock, and is placed by it, however late the record
+was written. Seconds here are counted from the day's beginning.
 """
 
 from collections import Counter, defaultdict
 from typing import NamedTuple
 
-ANSWERS = "plays", "blocked", "aborted", "gave_up", "broken", "unreached", "sent_on", "left", "refused"
-SAID = 3  # examples of one sort
-MOST_ROWS = 400  # of a table on the page; the rest is counted
+FATES = "plays", "blocked", "aborted", "gave_up", "broken", "unreached", "sent_on", "left", "refused"
+MAX_EXAMPLES = 3  # findings shown of one kind
+MAX_TABLE_ROWS = 400  # of a table on the page; further rows are only counted
 
 
 class Span(NamedTuple):
+    """A bar on a lane."""
+
     since: float
     until: float
-    what: str  # the sort, which gives it its colour
-    text: str  # shown when it is pointed at
+    what: str  # the kind, which determines the colour
+    text: str  # the tooltip
 
 
 class Lane(NamedTuple):
+    """A row of bars and marks on the time line."""
+
     name: str
     spans: list
     marks: list  # [(second, text)]
 
 
 class Chart(NamedTuple):
-    """Counts a second, one on top of the other."""
+    """Stacked bars of counts per second."""
 
     name: str
-    series: dict  # {what: [count by second]}
+    series: dict  # {kind: [count by second]}
 
 
-class Two(NamedTuple):
-    """Two accounts of one thing that do not go together."""
+class Conflict(NamedTuple):
+    """Contradictory accounts of the same matter."""
 
     about: str
-    stories: list  # [(who, what they say)]
+    stories: list  # [(source, its account)]
 
 
 class Story(NamedTuple):
+    """The content of the page."""
+
     name: str
     seed: int
     length: int  # seconds, whole
     lanes: list  # [(heading, [Lane])]
-    charts: list
+    charts: list  # [Chart]
     take_overs: list  # [(second, key, from, to, box)]
-    twos: list
-    late: int  # rows that stood behind later ones in their file
+    twos: list  # [Conflict]
+    late: int  # rows that follow a later one in their file
 
 
 class Records(NamedTuple):
-    """Rows by file; {} or [] where a day has none of a sort."""
+    """Rows by file; {} or [] where a day has none of a kind."""
 
     day: dict
     lab: list
     clients: list
-    boxes: dict  # {file's name: rows}
+    boxes: dict  # {file name: rows}
     catalogue: list
-    fronts: dict  # {manager: rows of its own log, `at` by its own clock}
-    findings: list  # of the audit's judge
+    fronts: dict  # {manager: rows of its own log, `mono` by its own clock}
+    findings: list  # of the audit
 
 
-def tell(records):
-    lab = sorted(records.lab, key=lambda r: r["at"])
-    began = next((r["at"] for r in lab if r["what"] == "begin"), lab[0]["at"] if lab else 0)
-    last = next((r["at"] for r in lab if r["what"] == "end"), lab[-1]["at"] if lab else began)
+def build_story(records):
+    """The Story of a day's Records."""
+    lab = sorted(records.lab, key=lambda row: row["at"])
+    start_at = next((row["at"] for row in lab if row["what"] == "begin"), lab[0]["at"] if lab else 0)
+    end_at = next((row["at"] for row in lab if row["what"] == "end"), lab[-1]["at"] if lab else start_at)
 
-    def s(at):
-        return (at - began) / 10_000
+    def second(at):
+        return (at - start_at) / 10_000
 
-    end, managers = s(last), sorted(records.day.get("managers", {}), key=lambda m: int(m[1:]))
+    end, managers = second(end_at), sorted(records.day.get("managers", {}), key=lambda manager: int(manager[1:]))
     files = [lab, records.clients, records.catalogue, *records.boxes.values()]
     late = sum(sum(a["at"] > b["at"] for a, b in zip(rows, rows[1:])) for rows in [records.lab, *files[1:]])
-    boxes = {name: sorted(rows, key=lambda r: r["at"]) for name, rows in records.boxes.items()}
+    boxes = {name: sorted(rows, key=lambda row: row["at"]) for name, rows in records.boxes.items()}
     lanes = [
-        ("managers", [manager_lane(m, lab, s, end) for m in managers]),
-        ("boxes", box_lanes(boxes, lab, s, end)),
-        ("who could not reach whom", way_lanes(lab, s, end)),
-        ("troubles", trouble_lanes(lab, s, end)),
-        ("versions of the catalogue in force", version_lanes(managers, records.catalogue, s, end)),
-        ("leases", lease_lanes(records.catalogue, s, end)),
+        ("managers", [manager_lane(manager, lab, second, end) for manager in managers]),
+        ("boxes", box_lanes(boxes, lab, second, end)),
+        ("who could not reach whom", way_lanes(lab, second, end)),
+        ("troubles", trouble_lanes(lab, second, end)),
+        ("versions of the catalogue in force", version_lanes(managers, records.catalogue, second, end)),
+        ("leases", lease_lanes(records.catalogue, second, end)),
     ]
     taken = sorted(
-        (s(r["at"]), r["key"], r["key"].partition(".")[0], r["manager"], start_of(rows))
+        (second(row["at"]), row["key"], row["key"].partition(".")[0], row["manager"], box_name(rows))
         for rows in boxes.values()
-        for r in rows
-        if r["what"] == "adopted"
+        for row in rows
+        if row["what"] == "adopted"
     )
-    off = {m: offset(rows, records.clients) for m, rows in records.fronts.items()}
+    offsets = {manager: clock_offset(rows, records.clients) for manager, rows in records.fronts.items()}
     return Story(
         records.day.get("site", {}).get("name", "?"),
         records.day.get("seed", 0),
         int(end) + 1,
-        [(heading, some) for heading, some in lanes if some],
-        charts_of(records, boxes, s, int(end) + 1),
+        [(heading, group) for heading, group in lanes if group],
+        charts_of(records, boxes, second, int(end) + 1),
         taken,
-        [*deaths(records.fronts, lab, s, end, off), *clocks(off), *audited(records)],
+        [
+            *death_conflicts(records.fronts, lab, second, end, offsets),
+            *clock_conflicts(offsets),
+            *audit_conflicts(records),
+        ],
         late,
     )
 
 
-def start_of(rows):
-    return next((f"b{r['box']}" for r in rows if r["what"] == "start"), "?")
+def box_name(rows):
+    """The name of the box whose records these are."""
+    return next((f"b{row['box']}" for row in rows if row["what"] == "start"), "?")
 
 
-def spans_between(rows, s, end, pairs):
-    """Spans from a row of one sort to the next of another, for one party. pairs: {begin: (finish, what)}."""
+def spans_between(rows, second, end, pairs):
+    """Spans of one process, each from an event to the next event that ends it. pairs: {begin: (finish, kind)}."""
     out = []
     for begin, (finish, what) in pairs.items():
         since = None
-        for r in rows:
-            if r["what"] == begin and since is None:
-                since = s(r["at"])
-            elif r["what"] == finish and since is not None:
-                out.append(Span(since, s(r["at"]), what, f"{what} {since:.2f} to {s(r['at']):.2f} s"))
+        for row in rows:
+            if row["what"] == begin and since is None:
+                since = second(row["at"])
+            elif row["what"] == finish and since is not None:
+                out.append(Span(since, second(row["at"]), what, f"{what} {since:.2f} to {second(row['at']):.2f} s"))
                 since = None
         if since is not None:
             out.append(Span(since, end, what, f"{what} from {since:.2f} s on"))
     return sorted(out)
 
 
-def manager_lane(name, lab, s, end):
-    mine = [r for r in lab if r.get("manager") == name]
+def manager_lane(name, lab, second, end):
+    """One manager's outages, with marks where its settings changed."""
+    events = [row for row in lab if row.get("manager") == name]
     return Lane(
         name,
         spans_between(
-            mine,
-            s,
+            events,
+            second,
             end,
             {"kill": ("back", "dead"), "stall": ("go_on", "stands still"), "restart": ("restarted", "planned restart")},
         ),
-        [(s(r["at"]), "settings") for r in mine if r["what"] == "settings"],
+        [(second(row["at"]), "settings") for row in events if row["what"] == "settings"],
     )
 
 
-def box_lanes(boxes, lab, s, end):
-    numbers = sorted({r["box"] for rows in boxes.values() for r in rows if r["what"] == "start"})
+def box_lanes(boxes, lab, second, end):
+    """One lane a box: outages, with marks for viewings that fell or were adopted and for version floors."""
+    numbers = sorted({row["box"] for rows in boxes.values() for row in rows if row["what"] == "start"})
     out = []
     for n in numbers:
-        mine = sorted(
-            [r for r in lab if r.get("box") == n]
+        events = sorted(
+            [row for row in lab if row.get("box") == n]
             + [
-                {"at": r["at"], "what": "up"}
+                {"at": row["at"], "what": "up"}
                 for rows in boxes.values()
-                for r in rows
-                if r["what"] == "start" and r["box"] == n
+                for row in rows
+                if row["what"] == "start" and row["box"] == n
             ],
-            key=lambda r: r["at"],
+            key=lambda row: row["at"],
         )
-        own = [r for rows in boxes.values() if start_of(rows) == f"b{n}" for r in rows]
+        box_rows = [row for rows in boxes.values() if box_name(rows) == f"b{n}" for row in rows]
         marks = [
-            (s(r["at"]), f"{r['what']} {r.get('key', '')}") for r in own if r["what"] in ("fell", "adopted", "floor")
+            (second(row["at"]), f"{row['what']} {row.get('key', '')}")
+            for row in box_rows
+            if row["what"] in ("fell", "adopted", "floor")
         ]
         out.append(
             Lane(
                 f"b{n}",
-                spans_between(mine, s, end, {"kill": ("up", "dead"), "box_stall": ("box_go_on", "stands still")}),
+                spans_between(
+                    events, second, end, {"kill": ("up", "dead"), "box_stall": ("box_go_on", "stands still")}
+                ),
                 sorted(marks),
             )
         )
     return out
 
 
-def way_lanes(lab, s, end):
-    """One lane a fault between processes: which ways it struck, until each had healed."""
+def way_lanes(lab, second, end):
+    """One lane a fault between processes: the ways it affected, until all of them had healed."""
     out = []
-    for r in (r for r in lab if r["what"] == "fault"):
-        healed = [(s(h["at"]), way) for h in lab if h["what"] == "heal" and h["n"] == r["n"] for way in h["ways"]]
+    for row in (row for row in lab if row["what"] == "fault"):
+        healed = [
+            (second(heal["at"]), way)
+            for heal in lab
+            if heal["what"] == "heal" and heal["n"] == row["n"]
+            for way in heal["ways"]
+        ]
         until = max((at for at, _ in healed), default=end)
-        ways = ", ".join(r["ways"][:12]) + (f" and {len(r['ways']) - 12} more" if len(r["ways"]) > 12 else "")
-        sides = [sorted({way.split(">")[n] for way in r["ways"]}) for n in (0, 1)]
+        ways = ", ".join(row["ways"][:12]) + (f" and {len(row['ways']) - 12} more" if len(row["ways"]) > 12 else "")
+        sides = [sorted({way.split(">")[n] for way in row["ways"]}) for n in (0, 1)]
         out.append(
             Lane(
-                f"{r['kind']} {'+'.join(sides[0][:3])}{'...' if len(sides[0]) > 3 else ''} > "
+                f"{row['kind']} {'+'.join(sides[0][:3])}{'...' if len(sides[0]) > 3 else ''} > "
                 f"{'+'.join(sides[1][:3])}{'...' if len(sides[1]) > 3 else ''}",
-                [Span(s(r["at"]), until, "cut" if r["kind"] == "cut" else "faulty way", ways)],
+                [Span(second(row["at"]), until, "cut" if row["kind"] == "cut" else "faulty way", ways)],
                 [(at, f"healed: {way}") for at, way in healed if at < until],
             )
         )
     return out
 
 
-def trouble_lanes(lab, s, end):
-    shown = {"manager_crash", "manager_stall", "manager_restart", "crash", "box_stall", "way"}
+def trouble_lanes(lab, second, end):
+    """One lane a trouble that no other group of lanes shows."""
+    shown_elsewhere = {"manager_crash", "manager_stall", "manager_restart", "crash", "box_stall", "way"}
     return [
         Lane(
-            r["name"],
+            row["name"],
             [
                 Span(
-                    s(r["at"]),
-                    min(end, s(r["at"]) + (r["for_s"] or 0)),
+                    second(row["at"]),
+                    min(end, second(row["at"]) + (row["for_s"] or 0)),
                     "trouble",
-                    f"{r['name']} {r.get('value')} at {r.get('hit') or 'all'}",
+                    f"{row['name']} {row.get('value')} at {row.get('hit') or 'all'}",
                 )
             ],
             [],
         )
-        for r in lab
-        if r["what"] == "trouble" and r["name"] not in shown
+        for row in lab
+        if row["what"] == "trouble" and row["name"] not in shown_elsewhere
     ]
 
 
-def version_lanes(managers, catalogue, s, end):
-    """By manager: which version it had said that it took, until the next; one lane each."""
+def version_lanes(managers, catalogue, second, end):
+    """One lane a manager: each version that it acknowledged, until it acknowledged the next."""
     out = []
-    for m in managers:
-        acks = sorted((s(r["at"]), r["version"]) for r in catalogue if r["what"] == "ack" and r["watcher"] == m)
+    for manager in managers:
+        acks = sorted(
+            (second(row["at"]), row["version"])
+            for row in catalogue
+            if row["what"] == "ack" and row["watcher"] == manager
+        )
         spans = [
-            Span(max(0.0, at), nxt, f"version {n % 2}", f"version {version} from {at:.2f} s")
-            for n, ((at, version), nxt) in enumerate(zip(acks, [*(at for at, _ in acks[1:]), end]))
-            if nxt > 0
+            Span(max(0.0, at), until, f"version {n % 2}", f"version {version} from {at:.2f} s")
+            for n, ((at, version), until) in enumerate(zip(acks, [*(at for at, _ in acks[1:]), end]))
+            if until > 0
         ]
         if spans:
-            out.append(Lane(m, spans, []))
+            out.append(Lane(manager, spans, []))
     return out
 
 
-def lease_lanes(catalogue, s, end):
-    """By piece: who held it, from grant to grant or until it was given back; its acts as marks."""
+def lease_lanes(catalogue, second, end):
+    """One lane a piece: each holder of its lease, until the next grant or the release; acts and refusals as marks."""
     rows = defaultdict(list)
-    for r in sorted((r for r in catalogue if r["what"] == "lease"), key=lambda r: r["at"]):
-        rows[r["piece"]].append(r)
+    for row in sorted((row for row in catalogue if row["what"] == "lease"), key=lambda row: row["at"]):
+        rows[row["piece"]].append(row)
     out = []
-    for piece, some in sorted(rows.items()):
+    for piece, rows_of_piece in sorted(rows.items()):
         spans, since = [], None
-        for r in [*some, None]:
-            over = r is None or r["did"] in ("granted", "given", "released")
-            if over and since is not None:
-                at = end if r is None else s(r["at"])
+        for row in [*rows_of_piece, None]:
+            ended = row is None or row["did"] in ("granted", "given", "released")
+            if ended and since is not None:
+                at = end if row is None else second(row["at"])
                 owner = since["owner"].partition(".")[0]
-                spans.append(Span(s(since["at"]), at, f"holder {owner}", f"{since['owner']} under {since['token']}"))
+                spans.append(
+                    Span(second(since["at"]), at, f"holder {owner}", f"{since['owner']} under {since['token']}")
+                )
                 since = None
-            if r is not None and r["did"] == "granted":
-                since = r
+            if row is not None and row["did"] == "granted":
+                since = row
         marks = [
-            (s(r["at"]), f"{r['did']} by {r['owner']} under {r['token']}")
-            for r in some
-            if r["did"] in ("act", "refused")
+            (second(row["at"]), f"{row['did']} by {row['owner']} under {row['token']}")
+            for row in rows_of_piece
+            if row["did"] in ("act", "refused")
         ]
         out.append(Lane(piece, spans, marks))
     return out
 
 
-def charts_of(records, boxes, s, length):
+def charts_of(records, boxes, second, length):
+    """Counts per second: fates that clients saw, tune-ins at boxes by status and viewings that began, by package."""
+
     def counted(rows):
-        found = defaultdict(lambda: [0] * length)
+        counts = defaultdict(lambda: [0] * length)
         for at, what in rows:
-            if 0 <= s(at) < length:
-                found[what][int(s(at))] += 1
-        return dict(found)
+            if 0 <= second(at) < length:
+                counts[what][int(second(at))] += 1
+        return dict(counts)
 
-    seen = counted((r["at"], r["fate"]) for r in records.clients if r["what"] == "seen")
-    answers = {what: seen[what] for what in ANSWERS if what in seen}
+    seen = counted((row["at"], row["fate"]) for row in records.clients if row["what"] == "seen")
+    answers = {what: seen[what] for what in FATES if what in seen}
     tune_ins = counted(
-        (r["at"], str(r["status"] or "none")) for rows in boxes.values() for r in rows if r["what"] == "answer"
+        (row["at"], str(row["status"] or "none")) for rows in boxes.values() for row in rows if row["what"] == "answer"
     )
-    view = {t: row["view"] for t, row in records.day.get("site", {}).get("titles", {}).items()}
-    asked = {r["n"]: view.get(r["title"]) for r in records.clients if r["what"] == "asked" and not r["sends"]}
+    packages = {title: settings["view"] for title, settings in records.day.get("site", {}).get("titles", {}).items()}
+    asked = {
+        row["n"]: packages.get(row["title"]) for row in records.clients if row["what"] == "asked" and not row["sends"]
+    }
     service = counted(
-        (r["at"], asked[r["n"]])
-        for r in records.clients
-        if r["what"] == "seen" and r["fate"] == "plays" and asked.get(r["n"])
+        (row["at"], asked[row["n"]])
+        for row in records.clients
+        if row["what"] == "seen" and row["fate"] == "plays" and asked.get(row["n"])
     )
     return [
         Chart("answers that clients saw, a second", answers),
@@ -270,68 +304,77 @@
     ]
 
 
-def offset(rows, clients):
-    """How far a manager's clock is from that of the records, in tenths of a millisecond: by answers that clients saw.
+def clock_offset(rows, clients):
+    """The offset of a manager's clock from that of the records, in tenths of a millisecond.
 
-    0 where they are within a second of each other: an answer takes a while to be seen.
+    It is the median over the answers that both the manager logged and a client saw. An offset of up to one second
+    counts as 0, because an answer reaches its client with some delay.
     """
-    traces = {r["n"]: r.get("trace") for r in clients if r["what"] == "asked"}
-    seen = {traces.get(r["n"]): r["at"] for r in clients if r["what"] == "seen"}
-    found = sorted(
-        r["mono"] - seen[r["trace"]] for r in rows if r.get("event") == "answered" and r.get("trace") in seen
+    traces = {row["n"]: row.get("trace") for row in clients if row["what"] == "asked"}
+    seen = {traces.get(row["n"]): row["at"] for row in clients if row["what"] == "seen"}
+    offsets = sorted(
+        row["mono"] - seen[row["trace"]] for row in rows if row.get("event") == "answered" and row.get("trace") in seen
     )
-    middle = found[len(found) // 2] if found else 0
-    return middle if abs(middle) > 10_000 else 0
+    median = offsets[len(offsets) // 2] if offsets else 0
+    return median if abs(median) > 10_000 else 0
 
 
-def clocks(off):
+def clock_conflicts(offsets):
+    """Managers whose clock differs from that of the records by more than a second."""
     wrong = [
-        (m, f"its clock is {by / 10_000:+.0f} s from that of the others; its log is shown by theirs")
-        for m, by in sorted(off.items())
-        if by
+        (manager, f"its clock is {offset / 10_000:+.0f} s from that of the others; its log is shown by theirs")
+        for manager, offset in sorted(offsets.items())
+        if offset
     ]
-    return [Two("clocks", wrong)] if wrong else []
+    return [Conflict("clocks", wrong)] if wrong else []
+
 
+def death_conflicts(fronts, lab, second, end, offsets):
+    """Deaths and leaves of members on which the managers' logs disagree with each other or with the lab.
 
-def deaths(fronts, lab, s, end, off):
-    """Where managers' own logs tell different stories of who died: one that lived, or told by some only, or late."""
-    told = defaultdict(dict)
+    The member was never struck, or only some logs have the event, or their times are 3 s or more apart.
+    """
+    reported = defaultdict(dict)
     for manager, rows in fronts.items():
-        for r in rows:
-            if r.get("event") == "member" and r.get("state") in ("dead", "left") and r["name"] != manager:
-                if (at := s(r["mono"] - off[manager])) < end - 1:  # all leave as the day ends
-                    told[r["name"], r["state"]].setdefault(manager, at)
-    gone = defaultdict(list)
-    for r in lab:
-        if r["what"] in ("kill", "stall", "restart") and "manager" in r:
-            gone[r["manager"]].append((s(r["at"]), r["what"]))
+        for row in rows:
+            if row.get("event") == "member" and row.get("state") in ("dead", "left") and row["name"] != manager:
+                if (at := second(row["mono"] - offsets[manager])) < end - 1:  # all members leave when the day ends
+                    reported[row["name"], row["state"]].setdefault(manager, at)
+    outages = defaultdict(list)
+    for row in lab:
+        if row["what"] in ("kill", "stall", "restart") and "manager" in row:
+            outages[row["manager"]].append((second(row["at"]), row["what"]))
     out = []
-    for (name, state), by in sorted(told.items()):
-        others = [m for m in fronts if m != name and m not in by]
-        struck = [(at, what) for at, what in gone[name] if at <= max(by.values())]
-        spread = max(by.values()) - min(by.values())
-        if struck and not others and spread < 3:
+    for (name, state), times in sorted(reported.items()):
+        silent = [manager for manager in fronts if manager != name and manager not in times]
+        struck = [(at, what) for at, what in outages[name] if at <= max(times.values())]
+        spread = max(times.values()) - min(times.values())
+        if struck and not silent and spread < 3:
             continue
-        stories = [(m, f"{state} at {at:.2f} s") for m, at in sorted(by.items())]
-        stories += [(m, f"never said that it is {state}") for m in sorted(others)]
+        stories = [(manager, f"{state} at {at:.2f} s") for manager, at in sorted(times.items())]
+        stories += [(manager, f"never said that it is {state}") for manager in sorted(silent)]
         stories += [("the lab", f"{what} at {at:.2f} s") for at, what in struck] or [
             ("the lab", "it was never touched")
         ]
-        out.append(Two(f"{name} as {state}", stories))
+        out.append(Conflict(f"{name} as {state}", stories))
     return out
 
 
-def audited(records):
-    """What the managers' accounts and their boxes tell differently, by manager and sort; a few of each in words."""
-    sorts = defaultdict(list)
-    for f in records.findings:
-        if f.what != "unknown":
-            sorts[f.manager, f.what].append(f)
+def audit_conflicts(records):
+    """Contradictions between managers' accounts and their boxes, by manager and kind, with a few examples each."""
+    kinds = defaultdict(list)
+    for finding in records.findings:
+        if finding.what != "unknown":
+            kinds[finding.manager, finding.what].append(finding)
     return [
-        Two(f"{manager}: {what}, {len(some)} times", [(f.key, f.detail) for f in some[:SAID]])
-        for (manager, what), some in sorted(sorts.items())
+        Conflict(
+            f"{manager}: {what}, {len(found)} times",
+            [(finding.key, finding.detail) for finding in found[:MAX_EXAMPLES]],
+        )
+        for (manager, what), found in sorted(kinds.items())
     ]
 
 
-def fates(clients):
-    return Counter(r["fate"] for r in clients if r["what"] == "seen")
+def fate_counts(clients):
+    """{fate: count} of the answers that clients saw."""
+    return Counter(row["fate"] for row in clients if row["what"] == "seen")
--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -1,4 +1,4 @@
-"""The incident's page: what was written late stands where it belongs, and two stories are both told."""
+"""The report of a day: late records are placed by their time, and conflicting accounts are both shown."""
 
 import json
 import pathlib
@@ -8,7 +8,7 @@
 import unittest
 
 from flaxscale.report.page import page
-from flaxscale.report.story import Records, tell
+from flaxscale.report.story import Records, build_story
 from flaxscale.rules.audit import Finding
 from tests.test_day import flaxscale
 
@@ -23,7 +23,7 @@
     return {"at": at(second), "what": what, **more}
 
 
-class Told(unittest.TestCase):
+class Report(unittest.TestCase):
     def story(self, **more):
         day = {
             "seed": 4,
@@ -51,12 +51,12 @@
             row(5, "lease", did="granted", piece="compact", owner="m2.b", token=2),
         ]
         rest = {"fronts": {}, "findings": [], **more}
-        return tell(Records(day, lab, clients, {"box-1-1.jsonl": box}, leases, **rest)), clients
+        return build_story(Records(day, lab, clients, {"box-1-1.jsonl": box}, leases, **rest)), clients
 
     def lane(self, story, heading, name):
         return next(lane for head, lanes in story.lanes if head == heading for lane in lanes if lane.name == name)
 
-    def test_who_was_down_cut_off_or_held_what_and_when(self):
+    def test_lanes_show_outages_cuts_and_lease_holders_with_their_times(self):
         story, _ = self.story()
         self.assertEqual([(2, 6, "dead")], [span[:3] for span in self.lane(story, "managers", "m0").spans])
         cut = self.lane(story, "who could not reach whom", "cut b1+m1 > b1+m1")
@@ -68,7 +68,7 @@
         self.assertEqual((2, 11), (story.late, story.length))  # the box's answer, and the fault
         self.assertEqual([0, 1], story.charts[1].series["201"][:2])
 
-    def test_two_stories_of_one_death_are_both_told_and_one_story_is_none(self):
+    def test_conflicting_accounts_of_a_death_are_shown_and_agreeing_ones_are_not(self):
         def member(second, name, state="dead"):
             return {"event": "member", "name": name, "state": state, "mono": at(second)}
 
@@ -76,7 +76,7 @@
             fronts={"m0": [], "m1": [member(4, "m0"), member(10.5, "m2", "left")], "m2": [member(4.5, "m0")]}
         )
         self.assertEqual([], story.twos)
-        # One whose clock is an hour off is read by what its clients saw.
+        # A clock that is an hour off is corrected by the answers that clients saw.
         wrong = {"event": "answered", "trace": "t", "mono": at(3601.1)}
         story, _ = self.story(fronts={"m0": [], "m1": [member(4, "m0")], "m2": [wrong, member(3604.2, "m0")]})
         self.assertEqual(["clocks"], [two.about for two in story.twos])
@@ -91,7 +91,7 @@
         story, _ = self.story(findings=findings)
         self.assertEqual([("m1: contradiction, 5 times", 3)], [(two.about, len(two.stories)) for two in story.twos])
 
-    def test_the_page_is_whole_and_takes_nothing_of_the_records_for_markup(self):
+    def test_the_page_is_complete_and_escapes_markup_in_records(self):
         story, clients = self.story()
         text = page(story, clients, [("rule 1", 1.5, "request <script> lost")], "rules kept: 5")
         self.assertNotIn("<script>", text)
@@ -101,7 +101,7 @@
         self.assertGreater(text.count("<svg"), 6)
         self.assertIsNone(re.search(r'(src|href)="', text))  # nothing is fetched
 
-    def test_the_command_writes_it_and_refuses_what_is_no_day(self):
+    def test_the_command_writes_the_page_and_refuses_a_folder_without_a_day(self):
         with tempfile.TemporaryDirectory() as folder:
             shutil.copytree(KEPT, f"{folder}/day")
             done = flaxscale("report", f"{folder}/day")
