--- a/bench/relay.py
+++ b/bench/relay.py
@@ -12,7 +12,7 @@
 
 import uvloop
 
-from flaxscale.cli import ready
+from flaxscale.cli import print_ready
 from flaxscale.http1.server import Limits
 from flaxscale.serve.pool import EventStream, Pool, Response
 from flaxscale.serve.server import Server
@@ -98,7 +98,7 @@
         )
 
     server = Server(handle, Limits())
-    ready(*await server.listen("127.0.0.1", 0))
+    print_ready(*await server.listen("127.0.0.1", 0))
     await asyncio.Event().wait()
 
 
--- a/flaxscale/cli/__init__.py
+++ b/flaxscale/cli/__init__.py
@@ -1,5 +1,7 @@
-"""The command line: one small file a program. Exit status: 0 good, 2 bad use or configuration, 3 a rule broken,
-4 managers or their accounts differ."""
+"""The command-line programs, one module for each group of commands.
+
+Exit status: 0 success, 2 bad usage or configuration, 3 a rule was broken, 4 managers or their accounts differ.
+"""
 
 import json
 import os
@@ -9,19 +11,23 @@
 
 from ..site.load import SiteError
 
-BAD, BROKEN = 2, 3
-# Programs start others while gRPC runs; the children begin anew, so that its handlers at a fork have nothing to do.
+EXIT_BAD_INPUT = 2  # exit status: bad usage, configuration or input
+EXIT_RULE_BROKEN = 3  # exit status: the checker found a broken rule
+
+# Commands start child processes while gRPC runs. Each child executes a new program, so gRPC's fork handlers are not
+# needed.
 os.environ.setdefault("GRPC_ENABLE_FORK_SUPPORT", "0")
 
 
 def site_errors(run):
-    """Runs; a bad file ends the program with one line that names it, and status 2."""
+    """Returns run(). A SiteError ends the program with its message, which names the file, on one line and status 2."""
     try:
         return run()
-    except SiteError as bad:
-        click.echo(f"flaxscale: {bad}", err=True)
-        sys.exit(BAD)
+    except SiteError as error:
+        click.echo(f"flaxscale: {error}", err=True)
+        sys.exit(EXIT_BAD_INPUT)
 
 
-def ready(host, port, **more):
-    print(json.dumps({"host": host, "port": port, **more}), flush=True)
+def print_ready(host, port, **fields):
+    """Prints one JSON line with the address that the program serves on, once it serves."""
+    print(json.dumps({"host": host, "port": port, **fields}), flush=True)
--- a/flaxscale/cli/audit.py
+++ b/flaxscale/cli/audit.py
@@ -8,7 +8,7 @@
 import click
 
 from ..rules.audit import judge
-from . import BAD
+from . import EXIT_BAD_INPUT
 
 BEHIND = 4  # exit status: a contradiction, or managers that go by different versions
 FIELDS = "build", "settings", "list_version", "catalogue", "peaks", "members"
@@ -59,7 +59,7 @@
                 )
     if not found:
         click.echo(f"flaxscale: {name}: nothing of this name in {folder}", err=True)
-        sys.exit(BAD)
+        sys.exit(EXIT_BAD_INPUT)
 
 
 @audit.command()
@@ -88,7 +88,7 @@
         click.echo(f"{manager} (life {life}), epoch {epoch}: {count} {kind}" + (f" at box {box}" if box else ""))
     if not found:
         click.echo(f"flaxscale: version {number}: nothing was done under it in {folder}", err=True)
-        sys.exit(BAD)
+        sys.exit(EXIT_BAD_INPUT)
 
 
 @audit.command()
@@ -105,6 +105,6 @@
         rows = rows_of(Log(Files(folder)).found)
     except (StoreError, ValueError, OSError) as bad:
         click.echo(f"flaxscale: {folder}: {bad}", err=True)
-        sys.exit(BAD)
+        sys.exit(EXIT_BAD_INPUT)
     for row in rows:
         click.echo(msgspec.json.encode(plain(row)).decode())
--- a/flaxscale/cli/catalogue.py
+++ b/flaxscale/cli/catalogue.py
@@ -9,7 +9,7 @@
 import click
 
 from ..site.terms import read_site
-from . import BAD, ready, service, site_errors
+from . import EXIT_BAD_INPUT, print_ready, service, site_errors
 from .logs import LEVELS, logger
 
 EXIT_REFUSED = 4
@@ -52,7 +52,7 @@
         )
     except (StoreError, ValueError, OSError) as error:
         click.echo(f"flaxscale: {store}: {error}", err=True)
-        sys.exit(BAD)
+        sys.exit(EXIT_BAD_INPUT)
     if server.catalogue.log.found.cut:
         server.log.warning("torn tail cut", bytes=server.catalogue.log.found.cut)
 
@@ -66,7 +66,7 @@
             titles=len(server.catalogue.current.titles),
         )
         if say_ready:
-            ready(*address, version=server.catalogue.committed_version)
+            print_ready(*address, version=server.catalogue.committed_version)
         await service.until_signal()
         await server.stop()
 
@@ -89,7 +89,7 @@
             sys.exit(site_errors(lambda: service.run(main())) or 0)
         except ServiceError as error:
             click.echo(f"flaxscale: {error}", err=True)
-            sys.exit(BAD)
+            sys.exit(EXIT_BAD_INPUT)
 
     return run
 
@@ -233,7 +233,7 @@
     version, titles = await client.get(titles=[title])
     if title not in titles:
         click.echo(f"flaxscale: version {version}: no title {title!r}", err=True)
-        return BAD
+        return EXIT_BAD_INPUT
     t = titles[title]
     click.echo(
         f"{t.name} at version {version}: view {t.view}, push {t.push}, rungs {t.low} to {t.top}, "
--- a/flaxscale/cli/days.py
+++ b/flaxscale/cli/days.py
@@ -16,7 +16,7 @@
 from ..rules.records import RecordError
 from ..site.load import evaluate_jsonnet
 from ..site.terms import read_site
-from . import BAD, BROKEN, service, site_errors
+from . import EXIT_BAD_INPUT, EXIT_RULE_BROKEN, service, site_errors
 from .logs import logger
 
 PROMISED = NAMES | DUTIES
@@ -33,7 +33,7 @@
     folder = pathlib.Path(out)
     if folder.exists() and any(folder.iterdir()):
         click.echo(f"flaxscale: {out}: an empty folder expected; nothing was written", err=True)
-        sys.exit(BAD)
+        sys.exit(EXIT_BAD_INPUT)
     run = DayRun(found, seed, out, logger("info", None))
     service.run(run.run())
     sys.exit(judge(out, shown))
@@ -53,7 +53,7 @@
         verdict, unkept = check(folder), [*promises(folder), *duties(folder)]
     except RecordError as bad:
         click.echo(f"flaxscale: {bad}", err=True)
-        return BAD
+        return EXIT_BAD_INPUT
     if shown or shown is None and (verdict.breaks or unkept):
         for at, text in timeline.lines(folder, [*verdict.breaks, *unkept]):
             click.echo(f"{at:8.2f} s  {text}")
@@ -67,7 +67,7 @@
     if (back := of_day(folder)) is not None and back.back is not None:
         click.echo(f"the fleet {'came' if back.back else 'did not come'} back: {back.said}")
     click.echo(verdict.line())
-    return BROKEN if verdict.breaks or unkept else 0
+    return EXIT_RULE_BROKEN if verdict.breaks or unkept else 0
 
 
 @click.group()
--- a/flaxscale/cli/fleet.py
+++ b/flaxscale/cli/fleet.py
@@ -9,7 +9,7 @@
 import click
 
 from ..rules.audit import judge
-from . import BAD, service
+from . import EXIT_BAD_INPUT, service
 from .audit import BEHIND, FIELDS, show_findings
 from .catalogue import EXIT_REFUSED, RETRY_FOR_S, service_command, user_name
 
@@ -225,7 +225,7 @@
     if len(silent) == len(found):
         for at, why in silent.items():
             click.echo(f"flaxscale: {at}: {why}", err=True)
-        sys.exit(BAD)
+        sys.exit(EXIT_BAD_INPUT)
     with tempfile.TemporaryDirectory() as gathered:
         for n, body in enumerate(body for body in found.values() if isinstance(body, bytes)):
             pathlib.Path(gathered, f"account-{n}.jsonl").write_bytes(body)
--- a/flaxscale/cli/front.py
+++ b/flaxscale/cli/front.py
@@ -17,7 +17,7 @@
 from ..site.terms import ManagerSite, read_site
 from ..store.files import Files
 from ..store.troubled import TroubledFiles
-from . import ready, service, site_errors
+from . import print_ready, service, site_errors
 from .logs import LEVELS, logger
 
 
@@ -139,10 +139,10 @@
         asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, reload)
         address = await manager.start(host, port, member_port or 0)
         log.info("serves", host=address[0], port=address[1])
-        service.settle_memory()
+        service.tune_garbage_collection()
         if say_ready:
             extra = {"members": "%s:%d" % manager.members.address} if member_port is not None else {}
-            ready(*address, **extra)
+            print_ready(*address, **extra)
         await service.until_signal(done=stop_requested)
         log.info("leaves")
         await manager.stop()
--- a/flaxscale/cli/hunt.py
+++ b/flaxscale/cli/hunt.py
@@ -9,7 +9,7 @@
 
 from ..lab.shapes import faults, read_day
 from ..site.load import raise_first_fault
-from . import BAD, BROKEN, site_errors
+from . import EXIT_BAD_INPUT, EXIT_RULE_BROKEN, site_errors
 
 
 def told(p):
@@ -54,7 +54,7 @@
             click.echo(f"{player}: {len(outcome.breaks)} breaks, {back[outcome.back]}{lost}")
         if first := hunts.difference(found):
             click.echo(f"the players differ: {first}")
-        sys.exit(BROKEN if any(not isinstance(o, str) and o.breaks for o in found.values()) else 0)
+        sys.exit(EXIT_RULE_BROKEN if any(not isinstance(o, str) and o.breaks for o in found.values()) else 0)
     if out is None:
         raise click.UsageError("--out FOLDER expected, for the hunt's log")
     day = site_errors(lambda: quiet_day(file, on == "processes"))
@@ -62,7 +62,7 @@
         hunting = hunts.Hunting(day, out, seed, jobs, seeds, plain, on == "processes")
     except (ValueError, OSError) as bad:
         click.echo(f"flaxscale: {bad}", err=True)
-        sys.exit(BAD)
+        sys.exit(EXIT_BAD_INPUT)
     if hunting.resumed:
         click.echo(f"goes on after {hunting.resumed} plays", err=True)
     broke = 0
@@ -85,7 +85,7 @@
         click.echo(
             f"{told(p)}; {len(p.troubles)} troubles, {len(small)} after {tries} plays: {hunting.keep(p, small, file)}"
         )
-    sys.exit(BROKEN if broke else 0)
+    sys.exit(EXIT_RULE_BROKEN if broke else 0)
 
 
 def quiet_day(file, sockets):
--- a/flaxscale/cli/journal.py
+++ b/flaxscale/cli/journal.py
@@ -9,7 +9,7 @@
 
 import click
 
-from . import BAD, service
+from . import EXIT_BAD_INPUT, service
 
 AGAIN_S, PAUSE_S, ANSWER_S = 3.0, 0.1, 5.0  # an order without an answer is said again
 
@@ -26,12 +26,12 @@
 
     if not pathlib.Path(folder).is_dir():
         click.echo(f"flaxscale: {folder}: a folder expected", err=True)
-        sys.exit(BAD)
+        sys.exit(EXIT_BAD_INPUT)
     try:
         return look(Files(folder))
     except (StoreError, ValueError, OSError) as bad:
         click.echo(f"flaxscale: {folder}: {bad}", err=True)
-        sys.exit(BAD)
+        sys.exit(EXIT_BAD_INPUT)
 
 
 def opened(folder):
@@ -142,7 +142,7 @@
         return service.run(ask())
     except OSError as bad:
         click.echo(f"flaxscale: {bad}", err=True)
-        sys.exit(BAD)
+        sys.exit(EXIT_BAD_INPUT)
 
 
 def asked(at, token, method="GET", path="/state"):
@@ -214,7 +214,7 @@
     row = known.get("members", {}).get(name)
     if row is None:
         click.echo(f"flaxscale: {name}: not known at {at}", err=True)
-        sys.exit(BAD)
+        sys.exit(EXIT_BAD_INPUT)
     said = {
         "alive": "it answers probes, its own or those that others were asked for",
         "suspect": "probes of it got no answer; it may still refute that with a higher incarnation",
--- a/flaxscale/cli/logs.py
+++ b/flaxscale/cli/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON line an event on standard error, or in a file."""
+"""Structured logs: one JSON line for each event, on standard error or in a file."""
 
 import sys
 
@@ -7,24 +7,24 @@
 LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
 
 
-def logger(level="info", file=None, **always):
-    """A logger whose every line carries `always`, the time of day and the monotonic clock's."""
-    out = open(file, "a", buffering=1, encoding="utf-8") if file else sys.stderr
+def logger(level="info", file=None, **bound_fields):
+    """Returns a logger whose every line has `bound_fields`, the UTC time and, as `mono`, the time of serve.clock."""
+    stream = open(file, "a", buffering=1, encoding="utf-8") if file else sys.stderr
 
-    def clocks(_, __, row):
+    def add_monotonic_time(_, __, row):
         from ..serve.clock import now
 
         row["mono"] = now()
         return row
 
     return structlog.wrap_logger(
-        structlog.WriteLogger(out),
+        structlog.WriteLogger(stream),
         wrapper_class=structlog.make_filtering_bound_logger(LEVELS[level]),
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper("iso", utc=True),
-            clocks,
+            add_monotonic_time,
             structlog.processors.JSONRenderer(),
         ],
         cache_logger_on_first_use=True,
-    ).bind(**always)
+    ).bind(**bound_fields)
--- a/flaxscale/cli/main.py
+++ b/flaxscale/cli/main.py
@@ -1,10 +1,13 @@
-"""The flaxscale command. A program's modules are loaded when it is called: a small one must not pay for the others."""
+"""The flaxscale command.
+
+A command's modules are imported only when it is called, so that a small command does not import those of all others.
+"""
 
 import importlib
 
 import click
 
-PROGRAMS = {  # program: its module here, and its name there
+COMMANDS = {  # command name: (module in this package, attribute of that module)
     "front": ("front", "front"),
     "box": ("standins", "box"),
     "boxlist": ("standins", "boxlist"),
@@ -30,18 +33,20 @@
 }
 
 
-class Programs(click.Group):
+class LazyCommandGroup(click.Group):
+    """A click group that imports the module of a command on its first use."""
+
     def list_commands(self, ctx):
-        return sorted(PROGRAMS)
+        return sorted(COMMANDS)
 
     def get_command(self, ctx, name):
-        if name not in PROGRAMS:
+        if name not in COMMANDS:
             return None
-        module, attribute = PROGRAMS[name]
+        module, attribute = COMMANDS[name]
         return getattr(importlib.import_module(f".{module}", __package__), attribute)
 
 
-@click.group(cls=Programs)
+@click.group(cls=LazyCommandGroup)
 @click.version_option("0.2.0", prog_name="flaxscale")
 def main():
     """A session front that places and shapes video sessions on streaming servers."""
--- a/flaxscale/cli/platform.py
+++ b/flaxscale/cli/platform.py
@@ -31,7 +31,7 @@
         if early_signals:
             host.reload()
         await host.start()
-        service.settle_memory()
+        service.tune_garbage_collection()
         log.info(
             "serves",
             listen="%s:%d" % config.listen,
--- a/flaxscale/cli/players.py
+++ b/flaxscale/cli/players.py
@@ -10,7 +10,7 @@
 
 from ..lab.players import Player, Wish, trace_of
 from ..lab.records import Recorder
-from . import BAD, service
+from . import EXIT_BAD_INPUT, service
 
 
 def options(command):
@@ -35,7 +35,7 @@
     kind, _, title = parts.path.strip("/").partition("/")
     if parts.scheme != "http" or not parts.hostname or kind != ("whip" if sends else "whep") or not title:
         click.echo(f"flaxscale: {url}: http://HOST:PORT/{'whip' if sends else 'whep'}/TITLE expected", err=True)
-        sys.exit(BAD)
+        sys.exit(EXIT_BAD_INPUT)
     address, seed, counts = (parts.hostname, parts.port or 80), secrets.randbits(60), Counter()
 
     async def one(player, n):
--- a/flaxscale/cli/relay.py
+++ b/flaxscale/cli/relay.py
@@ -8,7 +8,7 @@
 from ..lab.records import Recorder
 from ..lab.relay import Relay
 from ..site.load import SiteError
-from . import ready, service, site_errors
+from . import print_ready, service, site_errors
 
 
 @click.command()
@@ -38,7 +38,7 @@
         app = Relay(found, seed, Recorder(record))
         ports = await app.start()
         if say_ready:
-            ready("127.0.0.1", 0, ways=ports)
+            print_ready("127.0.0.1", 0, ways=ports)
         await service.until_signal(app.command)
         await app.stop()
 
--- a/flaxscale/cli/report.py
+++ b/flaxscale/cli/report.py
@@ -6,7 +6,7 @@
 
 import click
 
-from . import BAD
+from . import EXIT_BAD_INPUT
 
 
 @click.command()
@@ -32,7 +32,7 @@
         day = json.loads((folder / "day.json").read_text())
     except (RecordError, OSError, ValueError) as bad:
         click.echo(f"flaxscale: {bad}", err=True)
-        sys.exit(BAD)
+        sys.exit(EXIT_BAD_INPUT)
     lab, clients = rows_of(folder / "lab.jsonl"), rows_of(folder / "clients.jsonl")
     began = next((r["at"] for r in lab if r["what"] == "begin"), 0)
     breaks = [(f"rule {b.rule} ({RULES[b.rule - 1]})", (b.at - began) / 10_000, b.detail) for b in verdict.breaks]
@@ -59,5 +59,5 @@
         )
     except OSError as bad:
         click.echo(f"flaxscale: {file}: can't be written: {bad.strerror}", err=True)
-        sys.exit(BAD)
+        sys.exit(EXIT_BAD_INPUT)
     click.echo(f"{file}: {len(breaks)} breaks, {len(story.take_overs)} taken over, {len(story.twos)} told in two ways")
--- a/flaxscale/cli/solve.py
+++ b/flaxscale/cli/solve.py
@@ -9,7 +9,7 @@
 import click
 import msgspec
 
-from . import BAD
+from . import EXIT_BAD_INPUT
 
 
 class SolveRequest(NamedTuple):
@@ -46,7 +46,7 @@
         )
     except (msgspec.MsgspecError, ValueError, KeyError, TypeError) as error:
         click.echo(f"flaxscale: the question: {error}", err=True)
-        sys.exit(BAD)
+        sys.exit(EXIT_BAD_INPUT)
     sys.stdout.buffer.write(
         b"\n" + msgspec.json.encode(SolveResult(result.add, result.drop, result.before, result.after)) + b"\n"
     )
--- a/flaxscale/cli/standins.py
+++ b/flaxscale/cli/standins.py
@@ -14,7 +14,7 @@
 from ..standins.boxserver import BoxServer
 from ..store.files import Files
 from ..store.log import StoreError
-from . import BAD, ready, service, site_errors
+from . import EXIT_BAD_INPUT, print_ready, service, site_errors
 from .logs import logger
 
 
@@ -131,10 +131,10 @@
                 )
             except (StoreError, ValueError, OSError) as bad:
                 click.echo(f"flaxscale: {state}/floor-b{n}: {bad}", err=True)
-                sys.exit(BAD)
+                sys.exit(EXIT_BAD_INPUT)
             address = await servers[n].start(host, port if count == 1 else 0)
         if say_ready:
-            ready(*address, id=id)
+            print_ready(*address, id=id)
 
         def command(row):
             for n in [row["box"]] if "box" in row else servers:
@@ -164,7 +164,7 @@
         )
         address = await app.start(host, port)
         if say_ready:
-            ready(*address)
+            print_ready(*address)
         await service.until_signal(app.command)
         app.server.abort_all()
 
