--- a/flaxscale/__init__.py
+++ b/flaxscale/__init__.py
@@ -1,1 +1,1 @@
-"""flaxscale: decides who plays, where and at what quality."""
+"""flaxscale: a session front that places and shapes video sessions on streaming servers."""
--- a/flaxscale/__main__.py
+++ b/flaxscale/__main__.py
@@ -1,3 +1,5 @@
+"""Runs the flaxscale command for `python -m flaxscale`."""
+
 from .cli.main import main
 
 if __name__ == "__main__":
--- a/flaxscale/cli/fleet.py
+++ b/flaxscale/cli/fleet.py
@@ -1,4 +1,4 @@
-"""flaxscale fleet: the managers as a whole: who goes by which version, who is behind, floors, accounts gathered."""
+"""flaxscale fleet: compares all managers (versions, stragglers), sets the version floor, audits their accounts."""
 
 import asyncio
 import json
@@ -13,45 +13,55 @@
 from .audit import BEHIND, FIELDS, show_findings
 from .catalogue import EXIT_REFUSED, RETRY_FOR_S, service_command, user_name
 
-ANSWER_S = 2.0
+REQUEST_TIMEOUT_S = 2.0  # seconds to connect, and seconds for the answer
 
 
 @click.group()
 def fleet():
-    """The fleet of managers as a whole."""
+    """Query and control all managers of a fleet."""
 
 
-async def answers(addresses, token, path="/state"):
-    """{address: the bytes of a manager's answer, or the text of why there is none}; each has its own limit."""
+async def fetch_all(addresses, token, path="/state"):
+    """Asks all addresses at once, each under its own time-out.
+
+    Returns {address: the bytes of the answer, or a text with the reason why there is none}.
+    """
     from ..serve.pool import Pool
 
-    pool = Pool(ANSWER_S)
+    pool = Pool(REQUEST_TIMEOUT_S)
 
-    async def one(address):
+    async def fetch(address):
         host, _, port = address.rpartition(":")
         try:
             result = await pool.fetch(
-                host, int(port), "GET", path, [("Authorization", f"Bearer {token}")] if token else [], b"", ANSWER_S
+                host,
+                int(port),
+                "GET",
+                path,
+                [("Authorization", f"Bearer {token}")] if token else [],
+                b"",
+                REQUEST_TIMEOUT_S,
             )
-        except OSError as bad:
-            return str(bad)
+        except OSError as error:
+            return str(error)
         return result.body if result.status == 200 else f"status {result.status}"
 
     try:
-        return dict(zip(addresses, await asyncio.gather(*(one(a) for a in addresses))))
+        return dict(zip(addresses, await asyncio.gather(*(fetch(address) for address in addresses))))
     finally:
         await pool.close()
 
 
-async def states(addresses, token):
-    found = await answers(addresses, token)
-    return {at: json.loads(body) if isinstance(body, bytes) else body for at, body in found.items()}
+async def fetch_states(addresses, token):
+    """Returns {address: the parsed /state of a manager, or a text with the reason why there is none}."""
+    answers = await fetch_all(addresses, token)
+    return {at: json.loads(body) if isinstance(body, bytes) else body for at, body in answers.items()}
 
 
-def asks(command):
-    """A command that asks managers."""
+def managers_options(command):
+    """Adds the options of a command that asks managers."""
 
-    def addresses(ctx, param, value):
+    def check_addresses(ctx, param, value):
         for address in value:
             if not address.rpartition(":")[2].isdigit():
                 raise click.BadParameter(f"{address}: HOST:PORT expected")
@@ -66,8 +76,8 @@
             multiple=True,
             required=True,
             metavar="HOST:PORT",
-            callback=addresses,
-            help="Each manager to ask.",
+            callback=check_addresses,
+            help="A manager to ask; may be repeated.",
         ),
     ):
         command = option(command)
@@ -75,16 +85,17 @@
 
 
 @fleet.command()
-@asks
+@managers_options
 def versions(addresses, token, as_json):
-    """The versions that each manager goes by now; status 4 where they differ or one does not answer."""
+    """Show the versions that each manager uses. Exit status 4 where they differ or a manager does not answer."""
     rows, silent = {}, {}
-    for address, state in service.run(states(addresses, token)).items():
+    for address, state in service.run(fetch_states(addresses, token)).items():
         if isinstance(state, dict) and "audit" in state:
             rows[state["manager"]] = {"at": address, **state["audit"]}
         else:
-            silent[address] = state if isinstance(state, str) else "a build without stamps"
-    # Who lives is each manager's own view; it may differ for a moment, and is shown, not judged.
+            silent[address] = state if isinstance(state, str) else "its build has no version stamps"
+    # The set of live members is each manager's own view and may differ briefly: it is shown but does not count as a
+    # difference.
     differ = [f for f in FIELDS if f != "members" and len({json.dumps(row.get(f)) for row in rows.values()}) > 1]
     if as_json:
         click.echo(json.dumps({"managers": rows, "silent": silent, "differ": differ}))
@@ -99,25 +110,28 @@
     sys.exit(BEHIND if differ or silent else 0)
 
 
-def told_of(name, states):
-    """What others last knew of a member that gives no answer: (how long ago in seconds, its row), or None."""
-    heard = [
+def last_known_row(name, states):
+    """Returns (age in seconds, row) of the latest report that other managers have of `name`, or None."""
+    rows = [
         (row["heard_s_ago"], row)
         for state in states
         for row in [state["fleet"].get("rows", {}).get(name)]
         if row is not None and name != state["manager"]
     ]
-    return min(heard, key=lambda pair: pair[0], default=None)
+    return min(rows, key=lambda pair: pair[0], default=None)
 
 
 @fleet.command()
-@asks
+@managers_options
 def stragglers(addresses, token, as_json):
-    """Who is behind, since when and why, as each manager that answers knows it; status 4 where one is found."""
-    found = service.run(states(addresses, token))
-    able = [s for s in found.values() if isinstance(s, dict) and s.get("fleet", {}).get("on")]
+    """Show which managers are behind, since when and why, as known to each that answers.
+
+    Exit status 4 where one is behind or does not answer.
+    """
+    states = service.run(fetch_states(addresses, token))
+    answering = [s for s in states.values() if isinstance(s, dict) and s.get("fleet", {}).get("on")]
     lines = []
-    for state in sorted(able, key=lambda s: s["manager"]):
+    for state in sorted(answering, key=lambda s: s["manager"]):
         own = state["fleet"]
         if own["shut_out_for_s"] is not None:
             lines.append(
@@ -130,23 +144,23 @@
                 }
             )
         lines += [{**row, "by": state["manager"]} for row in own["stragglers"]]
-    answered = {s["manager"] for s in able}
-    for name in sorted({name for s in able for name in s["fleet"]["rows"]} - answered):
-        ago, row = told_of(name, able)
+    answered = {s["manager"] for s in answering}
+    for name in sorted({name for s in answering for name in s["fleet"]["rows"]} - answered):
+        age, row = last_known_row(name, answering)
         lines.append(
             {
                 "name": name,
                 "why": "not asked or no answer",
-                "since_s": ago,
+                "since_s": age,
                 "by": None,
                 "last_known": [row["epoch"], row["version"]],
                 "up": row["up"],
             }
         )
     silent = {
-        at: s if isinstance(s, str) else "versions are not spread between managers here"
-        for at, s in found.items()
-        if s not in able
+        at: s if isinstance(s, str) else "version exchange between managers is off"
+        for at, s in states.items()
+        if s not in answering
     }
     for line in lines:
         if as_json:
@@ -172,8 +186,8 @@
         click.echo(json.dumps({"at": at, "why": why}) if as_json else f"{at}: {why}")
     if not lines and not silent and not as_json:
         click.echo(
-            f"nobody is behind: {len(able)} managers at version {able[0]['fleet']['newest'][1]}"
-            if able and able[0]["fleet"]["newest"]
+            f"no manager is behind: {len(answering)} managers at version {answering[0]['fleet']['newest'][1]}"
+            if answering and answering[0]["fleet"]["newest"]
             else "no manager has a version yet"
         )
     sys.exit(BEHIND if lines or silent else 0)
@@ -181,13 +195,13 @@
 
 @fleet.command()
 @click.argument("version", type=int, required=False)
-@click.option("--force", is_flag=True, help="Whoever it shuts out.")
-@click.option("--why", default="", help="Kept with the floor.")
+@click.option("--force", is_flag=True, help="Raise it regardless of how many managers it shuts out.")
+@click.option("--why", default="", help="Reason, stored with the floor.")
 @service_command
 async def floor(client, version, force, why):
-    """Raise the floor to VERSION of the catalogue: nothing may be done under an earlier one from then on.
+    """Raise the floor to VERSION of the catalogue: managers at an earlier version may not act from then on.
 
-    Without VERSION, tell the floor that stands. --at is the catalogue's service.
+    Without VERSION, show the current floor. --at is the catalogue service.
     """
     from ..catalogued.client import new_id
     from ..proto import catalogue_pb2 as pb
@@ -201,41 +215,42 @@
         click.echo(f"refused: {reply.refused}", err=True)
         return EXIT_REFUSED
     under = f"; under it: {', '.join(reply.under)}" if reply.under else ""
-    stands = f"floor {reply.floor}" if reply.floor else "no floor stands"
-    click.echo(f"epoch {reply.epoch}, version {reply.version}: {stands}{under}")
+    floor_text = f"floor {reply.floor}" if reply.floor else "no floor"
+    click.echo(f"epoch {reply.epoch}, version {reply.version}: {floor_text}{under}")
 
 
 @fleet.command("audit")
-@asks
+@managers_options
 @click.option(
     "--records",
     "folder",
     required=True,
     type=click.Path(exists=True, path_type=pathlib.Path),
-    help="Where the boxes' own records are.",
+    help="Folder of the boxes' own records.",
 )
-@click.option("--since", default=0.0, help="Seconds by each manager's steady clock; earlier rows are not asked for.")
+@click.option("--since", default=0.0, help="Seconds on each manager's monotonic clock; earlier rows are not fetched.")
 def audit_command(addresses, token, as_json, folder, since):
-    """Gather the accounts of managers that serve, and join them with what boxes saw; status 4 at a contradiction.
+    """Fetch the accounts of running managers and compare them with the boxes' records.
 
-    --token is the fleet's. Who does not answer is said, and what it did is unknown.
+    --token is the fleet token. Exit status 4 at a contradiction or where a manager does not answer; the actions of that
+    manager are reported as unknown.
     """
-    found = service.run(answers(addresses, token, f"/fleet/account?since={round(since * 10_000)}"))
-    silent = {at: body for at, body in found.items() if isinstance(body, str)}
-    if len(silent) == len(found):
+    answers = service.run(fetch_all(addresses, token, f"/fleet/account?since={round(since * 10_000)}"))
+    silent = {at: body for at, body in answers.items() if isinstance(body, str)}
+    if len(silent) == len(answers):
         for at, why in silent.items():
             click.echo(f"flaxscale: {at}: {why}", err=True)
         sys.exit(EXIT_BAD_INPUT)
-    with tempfile.TemporaryDirectory() as gathered:
-        for n, body in enumerate(body for body in found.values() if isinstance(body, bytes)):
-            pathlib.Path(gathered, f"account-{n}.jsonl").write_bytes(body)
-        judged = judge(folder, gathered)
-    show_findings(judged, as_json)
+    with tempfile.TemporaryDirectory() as accounts_folder:
+        for n, body in enumerate(body for body in answers.values() if isinstance(body, bytes)):
+            pathlib.Path(accounts_folder, f"account-{n}.jsonl").write_bytes(body)
+        result = judge(folder, accounts_folder)
+    show_findings(result, as_json)
     for at, why in silent.items():
-        click.echo(json.dumps({"at": at, "why": why}) if as_json else f"{at}: {why}: what it did is unknown")
+        click.echo(json.dumps({"at": at, "why": why}) if as_json else f"{at}: {why}: its actions are unknown")
     click.echo(
-        json.dumps({"actions": judged.actions, "agreed": judged.agreed, "silent": len(silent)})
+        json.dumps({"actions": result.actions, "agreed": result.agreed, "silent": len(silent)})
         if as_json
-        else judged.line()
+        else result.line()
     )
-    sys.exit(BEHIND if judged.bad() or silent else 0)
+    sys.exit(BEHIND if result.bad() or silent else 0)
