--- a/flaxscale/cli/audit.py
+++ b/flaxscale/cli/audit.py
@@ -8,7 +8,7 @@
 import click
 
 from ..rules.audit import judge
-from . import BAD
+from . import EXIT_BAD_INPUT
 
 CONTRADICTED = 4  # exit status: a contradiction, or managers that use different versions
 STAMP_FIELDS = "build", "settings", "list_version", "catalogue", "peaks", "members"
@@ -64,7 +64,7 @@
                 )
     if not found:
         click.echo(f"flaxscale: {name}: no action of this name in {folder}", err=True)
-        sys.exit(BAD)
+        sys.exit(EXIT_BAD_INPUT)
 
 
 @audit.command()
@@ -93,7 +93,7 @@
         click.echo(f"{manager} (life {life}), epoch {epoch}: {count} {kind}" + (f" at box {box}" if box else ""))
     if not found:
         click.echo(f"flaxscale: version {number}: no action under it in {folder}", err=True)
-        sys.exit(BAD)
+        sys.exit(EXIT_BAD_INPUT)
 
 
 @audit.command()
@@ -110,6 +110,6 @@
         rows = rows_in(Log(Files(folder)).found)
     except (StoreError, ValueError, OSError) as error:
         click.echo(f"flaxscale: {folder}: {error}", err=True)
-        sys.exit(BAD)
+        sys.exit(EXIT_BAD_INPUT)
     for row in rows:
         click.echo(msgspec.json.encode(as_plain(row)).decode())
--- a/flaxscale/cli/days.py
+++ b/flaxscale/cli/days.py
@@ -16,7 +16,7 @@
 from ..rules.records import RecordError
 from ..site.load import evaluate_jsonnet
 from ..site.terms import read_site
-from . import BAD, BROKEN, service, site_errors
+from . import EXIT_BAD_INPUT, EXIT_RULE_BROKEN, service, site_errors
 from .logs import logger
 
 PROMISED = NAMES | DUTIES
@@ -38,7 +38,7 @@
     folder = pathlib.Path(out)
     if folder.exists() and any(folder.iterdir()):
         click.echo(f"flaxscale: {out}: the folder is not empty; nothing was written", err=True)
-        sys.exit(BAD)
+        sys.exit(EXIT_BAD_INPUT)
     run = DayRun(found, seed, out, logger("info", None))
     service.run(run.run())
     sys.exit(report_day(out, show_timeline))
@@ -63,7 +63,7 @@
         verdict, unkept = check(folder), [*promises(folder), *duties(folder)]
     except RecordError as error:
         click.echo(f"flaxscale: {error}", err=True)
-        return BAD
+        return EXIT_BAD_INPUT
     if show_timeline or show_timeline is None and (verdict.breaks or unkept):
         for at, text in timeline.lines(folder, [*verdict.breaks, *unkept]):
             click.echo(f"{at:8.2f} s  {text}")
@@ -77,7 +77,7 @@
     if (back := judge_day(folder)) is not None and back.recovered is not None:
         click.echo(f"the fleet {'came' if back.recovered else 'did not come'} back: {back.summary}")
     click.echo(verdict.line())
-    return BROKEN if verdict.breaks or unkept else 0
+    return EXIT_RULE_BROKEN if verdict.breaks or unkept else 0
 
 
 @click.group()
--- a/flaxscale/cli/hunt.py
+++ b/flaxscale/cli/hunt.py
@@ -9,7 +9,7 @@
 
 from ..lab.shapes import faults, read_day
 from ..site.load import raise_first_fault
-from . import BAD, BROKEN, site_errors
+from . import EXIT_BAD_INPUT, EXIT_RULE_BROKEN, site_errors
 
 
 def describe(play):
@@ -57,7 +57,7 @@
             click.echo(f"{player}: {len(outcome.breaks)} breaks, {recovery[outcome.back]}{lost}")
         if first := hunts.difference(found):
             click.echo(f"the players differ: {first}")
-        sys.exit(BROKEN if any(not isinstance(o, str) and o.breaks for o in found.values()) else 0)
+        sys.exit(EXIT_RULE_BROKEN if any(not isinstance(o, str) and o.breaks for o in found.values()) else 0)
     if out is None:
         raise click.UsageError("--out FOLDER is required: the hunt keeps its log there")
     day = site_errors(lambda: quiet_day(file, on == "processes"))
@@ -65,7 +65,7 @@
         hunting = hunts.Hunting(day, out, seed, jobs, seeds, plain, on == "processes")
     except (ValueError, OSError) as error:
         click.echo(f"flaxscale: {error}", err=True)
-        sys.exit(BAD)
+        sys.exit(EXIT_BAD_INPUT)
     if hunting.resumed:
         click.echo(f"resumed after {hunting.resumed} plays", err=True)
     broken_plays = 0
@@ -89,7 +89,7 @@
             f"{describe(play)}; {len(play.troubles)} troubles, {len(small)} after {tries} plays: "
             f"{hunting.keep(play, small, file)}"
         )
-    sys.exit(BROKEN if broken_plays else 0)
+    sys.exit(EXIT_RULE_BROKEN if broken_plays else 0)
 
 
 def quiet_day(file, sockets):
--- a/flaxscale/cli/report.py
+++ b/flaxscale/cli/report.py
@@ -6,7 +6,7 @@
 
 import click
 
-from . import BAD
+from . import EXIT_BAD_INPUT
 
 
 @click.command()
@@ -32,7 +32,7 @@
         day = json.loads((folder / "day.json").read_text())
     except (RecordError, OSError, ValueError) as error:
         click.echo(f"flaxscale: {error}", err=True)
-        sys.exit(BAD)
+        sys.exit(EXIT_BAD_INPUT)
     lab, clients = read_rows(folder / "lab.jsonl"), read_rows(folder / "clients.jsonl")
     start_at = next((row["at"] for row in lab if row["what"] == "begin"), 0)
     breaks = [(f"rule {b.rule} ({RULES[b.rule - 1]})", (b.at - start_at) / 10_000, b.detail) for b in verdict.breaks]
@@ -59,7 +59,7 @@
         )
     except OSError as error:
         click.echo(f"flaxscale: {file}: can't be written: {error.strerror}", err=True)
-        sys.exit(BAD)
+        sys.exit(EXIT_BAD_INPUT)
     click.echo(
         f"{file}: {len(breaks)} breaks, {len(story.take_overs)} taken over, {len(story.twos)} conflicting accounts"
     )
