--- a/flaxscale/catalogued/peaks.py
+++ b/flaxscale/catalogued/peaks.py
@@ -55,7 +55,7 @@
 
     async def Change(self, request, context):
         if self.broken is not None:
-            await context.abort(grpc.StatusCode.UNAVAILABLE, f"the store failed and takes nothing more: {self.broken}")
+            await context.abort(grpc.StatusCode.UNAVAILABLE, f"the store takes nothing more: {self.broken}")
         if len(request.id) > ID_LIMIT:
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, f"an id of {ID_LIMIT} characters at most")
         if request.id in self.book.done:
--- a/flaxscale/catalogued/service.py
+++ b/flaxscale/catalogued/service.py
@@ -81,7 +81,7 @@
         if self.peaks is not None:
             self.peaks.epoch = self.epoch
         self.log.error(
-            "store is older than a watcher's version: new epoch",
+            "store older than what was told: another epoch",
             watcher=watcher,
             holds=version,
             settled=self.catalogue.committed_version,
@@ -173,9 +173,7 @@
     async def require_store(self, context):
         """Aborts the call while the store has failed."""
         if self.broken is not None:
-            await context.abort(
-                grpc.StatusCode.FAILED_PRECONDITION, f"the store failed and takes nothing more: {self.broken}"
-            )
+            await context.abort(grpc.StatusCode.FAILED_PRECONDITION, f"the store takes nothing more: {self.broken}")
 
     async def earlier_reply(self, id, context):
         """The reply to an earlier change with this id, once that change is durable; None for a new id."""
@@ -325,7 +323,7 @@
         """Carries out one act on this service and returns its result. ValueError: the act is not possible."""
         catalogue = self.catalogue
         if self.broken is not None:
-            raise ValueError("the store failed and takes nothing more")
+            raise ValueError("the store takes nothing more")
         if task == "compact":
             records = catalogue.log.since_snapshot
             if records < duties.COMPACT_OVER:
--- a/flaxscale/front/duties.py
+++ b/flaxscale/front/duties.py
@@ -143,7 +143,7 @@
             self.front.logger.info("lease outdated", piece=piece, known=error.token)
         except (OSError, ValueError, asyncio.TimeoutError, msgspec.MsgspecError) as error:
             self.counts["failed"] += 1
-            self.front.logger.info("duty failed", piece=piece, detail=f"{type(error).__name__}: {error}"[:200])
+            self.front.logger.info("duty not done", piece=piece, detail=f"{type(error).__name__}: {error}"[:200])
         finally:
             if completed:
                 self.turns.done(piece, now())
--- a/flaxscale/front/fleet.py
+++ b/flaxscale/front/fleet.py
@@ -151,7 +151,7 @@
         step = self.catch_up.next_step(time_now, behind_since, self.board.count_behind(alive), givers)
         if step.nudge:
             self.counts["nudges"] += 1
-            self.front.logger.info("behind: reconnecting to the source", since=time_now - behind_since, newest=newest)
+            self.front.logger.info("behind: source asked anew", since=time_now - behind_since, newest=newest)
             self.front.catalogue_watch.reconnect()
             if self.front.list_follower:
                 self.front.list_follower.reconnect()
@@ -190,13 +190,13 @@
             self.front.catalogue_watch.apply_handed_over(epoch, messages)
             applied = True
             self.counts["brought_up"] += 1
-            logger.info("caught up", by=peer, epoch=epoch, version=follower.version, bytes=len(result.body))
+            logger.info("brought up", by=peer, epoch=epoch, version=follower.version, bytes=len(result.body))
         except ValueError as error:
             is_damaged = getattr(error, "bad_copy", False)
             self.counts["copies_refused"] += 1
             logger.warning("copy refused", by=peer, why=str(error)[:300])
         except OSError as error:
-            logger.info("not caught up", by=peer, detail=str(error)[:200])
+            logger.info("not brought up", by=peer, detail=str(error)[:200])
         finally:
             self.catch_up.finished(now(), applied, is_damaged)
 
@@ -254,7 +254,7 @@
                 self.counts["shut_out"] += 1
                 self.front.audit.record("shut", f"{follower.epoch};{follower.version}")
                 self.front.logger.warning(
-                    "below the version floor: no new viewings accepted",
+                    "under the floor: nothing new is taken",
                     version=follower.version,
                     floor=self.floor(),
                     viewings=len(self.front.viewings),
@@ -267,7 +267,7 @@
         self.above_floor_since = self.above_floor_since or time_now
         if time_now - self.above_floor_since >= RETURN_DELAY:
             self.front.logger.info(
-                "above the version floor again",
+                "over the floor again",
                 version=self.front.catalogue_watch.follower.version,
                 after=time_now - self.out_of_service_since,
             )
