--- a/tests/test_seats.py
+++ b/tests/test_seats.py
@@ -135,16 +135,16 @@
         lost = []
 
         def claims(box):
-            say = box.say
+            respond_json = box.respond_json
 
             def once(exchange, row):
                 if "granted" in row and not lost:
                     lost.append(row["granted"])
                     exchange.abort()
                 else:
-                    say(exchange, row)
+                    respond_json(exchange, row)
 
-            box.say = once
+            box.respond_json = once
 
         for box in self.boxes.values():
             claims(box)
