--- a/flaxscale/cli/catalogue.py
+++ b/flaxscale/cli/catalogue.py
@@ -1,4 +1,4 @@
-"""flaxscale catalogue: the service and its operators' commands."""
+"""flaxscale catalogue: the service and the operators' commands."""
 
 import contextlib
 import functools
@@ -9,10 +9,10 @@
 import click
 
 from ..site.terms import read_site
-from . import BAD, ready, service, site_errors
+from . import EXIT_BAD_INPUT, print_ready, service, site_errors
 from .logs import LEVELS, logger
 
-REFUSED = 4
+EXIT_REFUSED = 4
 
 
 @click.group()
@@ -22,7 +22,7 @@
 
 @catalogue.command()
 @click.argument("site", type=click.Path())
-@click.option("--store", required=True, type=click.Path(), help="Folder of its durable store.")
+@click.option("--store", required=True, type=click.Path(), help="Folder of the durable store.")
 @click.option("--host", default="127.0.0.1", show_default=True)
 @click.option("--port", default=7070, show_default=True)
 @click.option("--log-level", default="info", type=click.Choice(list(LEVELS)), show_default=True)
@@ -30,7 +30,7 @@
 @click.option("--ready", "say_ready", is_flag=True)
 def serve(site, store, host, port, log_level, record, say_ready):
     """Serve the catalogue of SITE from a durable store."""
-    from ..catalogued.service import Service
+    from ..catalogued.service import CatalogueService
     from ..lab.changes import frame_of
     from ..lab.records import Recorder
     from ..leases.duties import tasks_of
@@ -40,7 +40,7 @@
     found = site_errors(lambda: read_site(site))
     try:
         log = logger(log_level, None, program="catalogue")
-        made = Service(
+        server = CatalogueService(
             Files(store),
             frame_of(found),
             log,
@@ -50,27 +50,31 @@
             Files(f"{store}/leases") if found.duties else None,
             tasks_of(found.duties, found.fleet.drift),
         )
-    except (StoreError, ValueError, OSError) as bad:
-        click.echo(f"flaxscale: {store}: {bad}", err=True)
-        sys.exit(BAD)
-    if made.keeper.log.found.cut:
-        made.log.warning("torn tail cut", bytes=made.keeper.log.found.cut)
+    except (StoreError, ValueError, OSError) as error:
+        click.echo(f"flaxscale: {store}: {error}", err=True)
+        sys.exit(EXIT_BAD_INPUT)
+    if server.catalogue.log.found.cut:
+        server.log.warning("torn tail cut", bytes=server.catalogue.log.found.cut)
 
     async def main():
-        address = await made.start(host, port)
-        made.log.info(
-            "serves", host=address[0], port=address[1], version=made.keeper.settled, titles=len(made.keeper.now.titles)
+        address = await server.start(host, port)
+        server.log.info(
+            "serves",
+            host=address[0],
+            port=address[1],
+            version=server.catalogue.committed_version,
+            titles=len(server.catalogue.current.titles),
         )
         if say_ready:
-            ready(*address, version=made.keeper.settled)
+            print_ready(*address, version=server.catalogue.committed_version)
         await service.until_signal()
-        await made.stop()
+        await server.stop()
 
     service.run(main())
 
 
-def talks(command):
-    """A command that calls the service; what goes wrong is one line and a status."""
+def service_command(command):
+    """Makes a command from a coroutine function with a client; errors become one line and an exit status."""
 
     @click.option("--at", default="127.0.0.1:7070", show_default=True, metavar="HOST:PORT")
     @functools.wraps(command)
@@ -83,22 +87,22 @@
 
         try:
             sys.exit(site_errors(lambda: service.run(main())) or 0)
-        except ServiceError as bad:
-            click.echo(f"flaxscale: {bad}", err=True)
-            sys.exit(BAD)
+        except ServiceError as error:
+            click.echo(f"flaxscale: {error}", err=True)
+            sys.exit(EXIT_BAD_INPUT)
 
     return run
 
 
-def said(reply, dry=False):
-    """Prints what became of a change; its status."""
+def print_outcome(reply, dry=False):
+    """Prints the outcome of a change and returns the exit status."""
     if reply.behind:
         click.echo(f"not made: {reply.behind}", err=True)
-        return REFUSED
+        return EXIT_REFUSED
     if reply.faults:
         for fault in reply.faults[:100]:
             click.echo(f"refused: {fault}", err=True)
-        return REFUSED
+        return EXIT_REFUSED
     if not reply.changed:
         click.echo(f"nothing differs from version {reply.version}")
         return 0
@@ -106,27 +110,29 @@
     return 0
 
 
-AGAIN_S = 3.0  # without an answer a change is asked for again, under its id
+RETRY_FOR_S = 3.0  # a change without an answer is repeated under the same id
 
 
 def change_options(command):
+    """Adds the options of commands that change the catalogue."""
     for option in (
         click.option(
             "--id",
             "id",
             default=None,
-            help="The change's own: asked for again under it, it is made once. Drawn if left out.",
+            help="Id of the change: a repeat with the same id is not made twice. Random by default.",
         ),
-        click.option("--why", default="", help="Kept with the change."),
+        click.option("--why", default="", help="Reason, stored with the change."),
         click.option("--dry", is_flag=True, help="Check only."),
-        click.option("--force", is_flag=True, help="Let seats go under those in use."),
+        click.option("--force", is_flag=True, help="Allow fewer seats than are in use."),
         click.option("--expect", default=None, type=int, help="Only if the catalogue is at this version."),
     ):
         command = option(command)
     return command
 
 
-def who():
+def user_name():
+    """The user to name in the history; empty if unknown."""
     try:
         return getpass.getuser()
     except (KeyError, OSError):
@@ -135,45 +141,48 @@
 
 @catalogue.command()
 @click.argument("file", type=click.Path())
-@click.option("--keep", is_flag=True, help="Leave titles that FILE does not name; they are dropped otherwise.")
+@click.option("--keep", is_flag=True, help="Keep titles that are not in FILE; without it they are dropped.")
 @change_options
-@talks
+@service_command
 async def put(client, file, keep, expect, force, dry, why, id):
-    """Make the catalogue what FILE says (Jsonnet or Parquet), in one change set."""
-    from ..catalogue.files import ops_to, read_catalogue
+    """Change the catalogue to that of FILE (Jsonnet or Parquet), in one change set."""
+    from ..catalogue.files import ops_to_reach, read_catalogue
 
     puts = read_catalogue(file)
     version, titles = await client.get()
-    ops = ops_to(titles, puts, keep)
+    ops = ops_to_reach(titles, puts, keep)
     if not ops:
         click.echo(f"nothing differs from version {version}")
         return 0
-    return said(
-        await client.change(ops, version if expect is None else expect, force, dry, who(), why, id, AGAIN_S), dry
+    return print_outcome(
+        await client.change(ops, version if expect is None else expect, force, dry, user_name(), why, id, RETRY_FOR_S),
+        dry,
     )
 
 
 @catalogue.command()
 @click.argument("file", type=click.Path())
 @change_options
-@talks
+@service_command
 async def edit(client, file, expect, force, dry, why, id):
     """Make the change set in FILE: a Jsonnet list of operations."""
     from ..catalogue.files import read_ops
 
-    return said(await client.change(read_ops(file), expect, force, dry, who(), why, id, AGAIN_S), dry)
+    return print_outcome(
+        await client.change(read_ops(file), expect, force, dry, user_name(), why, id, RETRY_FOR_S), dry
+    )
 
 
 @catalogue.command()
 @click.argument("old", type=int)
 @click.argument("new", type=int, required=False)
-@talks
+@service_command
 async def diff(client, old, new):
-    """What changed from version OLD to NEW (the present one if left out)."""
-    from ..catalogue.state import diff as differ
+    """What changed from version OLD to NEW (default: the present one)."""
+    from ..catalogue.state import diff as title_diff
 
     (_, before), (_, after) = await client.get(old), await client.get(new)
-    for name, (was, now) in differ(before, after).items():
+    for name, (was, now) in title_diff(before, after).items():
         if was is None or now is None:
             click.echo(f"{'+' if was is None else '-'} {name}")
             continue
@@ -181,16 +190,16 @@
             if getattr(was, field) != getattr(now, field):
                 click.echo(f"  {name}: {field} {getattr(was, field)} -> {getattr(now, field)}")
         boxes = {b: [dict(t.holders).get(b, "gone") for t in (was, now)] for b, _ in was.holders + now.holders}
-        for box, (one, two) in sorted(boxes.items()):
-            if one != two:
-                click.echo(f"  {name}: box {box} {one} -> {two}")
+        for box, (old_state, new_state) in sorted(boxes.items()):
+            if old_state != new_state:
+                click.echo(f"  {name}: box {box} {old_state} -> {new_state}")
 
 
 @catalogue.command()
 @click.option("--last", default=20, show_default=True)
-@talks
+@service_command
 async def log(client, last):
-    """The last changes, with who made them and why."""
+    """Show the last changes, with their authors and reasons."""
     from ..proto import catalogue_pb2 as pb
 
     for c in (await client.call("History", pb.HistoryRequest(last=last))).changes:
@@ -201,28 +210,30 @@
 @catalogue.command()
 @click.argument("version", type=int)
 @click.option("--expect", default=None, type=int)
-@talks
+@service_command
 async def rollback(client, version, expect):
-    """Make the catalogue what it was at VERSION, as a new version."""
+    """Restore the catalogue of VERSION, as a new version."""
     from ..catalogued.client import new_id
     from ..proto import catalogue_pb2 as pb
 
-    return said(
+    return print_outcome(
         await client.call(
-            "Rollback", pb.RollbackRequest(to=version, expect=expect, who=who(), id=new_id()), again_s=AGAIN_S
+            "Rollback",
+            pb.RollbackRequest(to=version, expect=expect, who=user_name(), id=new_id()),
+            retry_for_s=RETRY_FOR_S,
         )
     )
 
 
 @catalogue.command()
 @click.argument("title")
-@talks
+@service_command
 async def holders(client, title):
-    """Who holds TITLE, and what it is."""
+    """Show TITLE and its holders."""
     version, titles = await client.get(titles=[title])
     if title not in titles:
         click.echo(f"flaxscale: version {version}: no title {title!r}", err=True)
-        return BAD
+        return EXIT_BAD_INPUT
     t = titles[title]
     click.echo(
         f"{t.name} at version {version}: view {t.view}, push {t.push}, rungs {t.low} to {t.top}, "
@@ -233,30 +244,30 @@
 
 
 @contextlib.contextmanager
-def no_banner():
-    """The solver's library greets on the process's own standard output, whatever it is told."""
+def stdout_silenced():
+    """Redirects file descriptor 1: the solver prints a banner there even with output switched off."""
     sys.stdout.flush()
-    kept, nothing = os.dup(1), os.open(os.devnull, os.O_WRONLY)
-    os.dup2(nothing, 1)
+    stdout_copy, null = os.dup(1), os.open(os.devnull, os.O_WRONLY)
+    os.dup2(null, 1)
     try:
         yield
     finally:
-        os.dup2(kept, 1)
-        os.close(kept)
-        os.close(nothing)
+        os.dup2(stdout_copy, 1)
+        os.close(stdout_copy)
+        os.close(null)
 
 
 @catalogue.command("plan")
 @click.argument("question", type=click.Path())
 @click.option("--out", default=None, type=click.Path(), help="Write the change set here, for `catalogue edit`.")
-@click.option("--seconds", default=20.0, show_default=True, help="For the solver, at most.")
-@talks
+@click.option("--seconds", default=20.0, show_default=True, help="Time limit of the solver.")
+@service_command
 async def plan_command(client, question, out, seconds):
     """Which boxes should hold what: copies to add and drop for the demand in QUESTION (Jsonnet)."""
     import msgspec
 
-    from ..catalogue.plan import Question, Shelf, plan
-    from ..site.load import SiteError, evaluate, shape
+    from ..catalogue.plan import BoxCapacity, PlanRequest, plan
+    from ..site.load import SiteError, decode_as, evaluate_jsonnet
 
     class ShelfRow(msgspec.Struct, forbid_unknown_fields=True):
         id: int
@@ -273,36 +284,36 @@
         copies: int = 3
         stress: float = 1.5
 
-    asked = shape(question, evaluate(question), QuestionRow)
-    for key, good, expected in (
-        ("boxes", asked.boxes, "at least one box"),
-        ("moves", asked.moves >= 0, "0 or more"),
-        ("copies", asked.copies >= 1, "1 or more"),
-        ("stress", asked.stress > 1, "over 1"),
-        ("uplinks", all(r.isdigit() for r in asked.uplinks), "numbers of racks"),
-        ("demand", all(kb >= 0 for kb in asked.demand.values()), "0 or more each"),
+    request = decode_as(question, evaluate_jsonnet(question), QuestionRow)
+    for key, accepted, expected in (
+        ("boxes", request.boxes, "at least one box"),
+        ("moves", request.moves >= 0, "0 or more"),
+        ("copies", request.copies >= 1, "1 or more"),
+        ("stress", request.stress > 1, "over 1"),
+        ("uplinks", all(r.isdigit() for r in request.uplinks), "numbers of racks"),
+        ("demand", all(kb >= 0 for kb in request.demand.values()), "0 or more each"),
     ):
-        if not good:
+        if not accepted:
             raise SiteError(question, key, f"{expected} expected")
     version, titles = await client.get()
     held = {t.name: {b for b, s in t.holders if s == "holding"} for t in titles.values()}
     try:
-        with no_banner():
+        with stdout_silenced():
             found = plan(
-                Question(
-                    tuple(Shelf(b.id, b.link_kb, b.rack, b.room) for b in asked.boxes),
-                    {int(r): kb for r, kb in asked.uplinks.items()},
-                    asked.demand,
-                    asked.value,
-                    asked.moves,
-                    asked.copies,
-                    asked.stress,
+                PlanRequest(
+                    tuple(BoxCapacity(b.id, b.link_kb, b.rack, b.room) for b in request.boxes),
+                    {int(r): kb for r, kb in request.uplinks.items()},
+                    request.demand,
+                    request.value,
+                    request.moves,
+                    request.copies,
+                    request.stress,
                 ),
                 held,
                 seconds,
             )
-    except ValueError as bad:
-        raise SiteError(question, "", str(bad)) from None
+    except ValueError as error:
+        raise SiteError(question, "", str(error)) from None
     click.echo(
         f"version {version}: {len(found.add)} copies to add, {len(found.drop)} to drop "
         f"({found.seconds:.1f} s, within {found.gap:.2%} of the best)"
@@ -324,15 +335,15 @@
 
 
 @catalogue.command("who")
-@talks
+@service_command
 async def who_command(client):
-    """Who follows the catalogue, at which version, and who refused one."""
+    """Show the watchers of the catalogue, with their versions and refusals."""
     from ..proto import catalogue_pb2 as pb
 
     reply = await client.call("Who", pb.WhoRequest())
     click.echo(f"version {reply.version}, epoch {reply.epoch}")
-    for w in reply.watchers:
-        at = w.acked if w.HasField("acked") else "-"
-        state = "connected" if w.connected else f"away, last heard {w.heard_ms_ago / 1000:.1f} s ago"
-        refused = f"; refused {w.refused}: {w.why}" if w.HasField("refused") else ""
-        click.echo(f"  {w.name} ({w.role}): version {at}, {state}{refused}")
+    for watcher in reply.watchers:
+        at = watcher.acked if watcher.HasField("acked") else "-"
+        state = "connected" if watcher.connected else f"away, last message {watcher.heard_ms_ago / 1000:.1f} s ago"
+        refused = f"; refused {watcher.refused}: {watcher.why}" if watcher.HasField("refused") else ""
+        click.echo(f"  {watcher.name} ({watcher.role}): version {at}, {state}{refused}")
--- a/flaxscale/lab/hunts.py
+++ b/flaxscale/lab/hunts.py
@@ -18,17 +18,17 @@
 
 import msgspec
 
-from ..hunt.marks import by_second, marks_of
-from ..hunt.search import SHAPE, Hunt, Outcome
+from ..hunt.marks import counts_by_second, marks_of
+from ..hunt.search import LOG_VERSION, Hunt, Outcome
 from ..hunt.shrink import shrink
 from ..hunt.space import Space
-from ..model.judge import day_with, played, quiet_of
+from ..model.judge import day_with, play_and_check, undisturbed_share
 from ..rules.audit import judge as audit_judge
 from ..rules.check import check
-from ..rules.comeback import of_day
+from ..rules.comeback import judge_day
 from ..rules.duties import duties
 from ..rules.promises import promises
-from ..rules.records import rows_of
+from ..rules.records import read_rows
 from ..store.files import Files
 from ..store.log import Log
 from .shapes import Day, TroubleRow, faults
@@ -64,7 +64,7 @@
     """(Outcome as plain values) of (day, seed, troubles, quiet). Runs in a process of its own."""
     data, seed, troubles, quiet = job
     day = msgspec.msgpack.decode(data, type=Day)
-    outcome, _ = played(day, seed, msgspec.msgpack.decode(troubles, type=list[TroubleRow]), quiet)
+    outcome, _ = play_and_check(day, seed, msgspec.msgpack.decode(troubles, type=list[TroubleRow]), quiet)
     return outcome
 
 
@@ -98,26 +98,29 @@
     breaks = [(f"rule {b.rule}", b.detail) for b in check(out).breaks]
     breaks += [(f"promise {b.rule}", b.detail) for b in [*promises(out), *duties(out)]]
     breaks += (
-        [(f"audit: {f.what}", f"{f.manager} {f.key}: {f.detail}") for f in audit_judge(out).bad()]
+        [(f"audit: {f.what}", f"{f.manager} {f.key}: {f.detail}") for f in audit_judge(out).violations()]
         if any(out.glob("account-*.jsonl"))
         else []
     )
-    clients, lab = rows_of(out / "clients.jsonl"), rows_of(out / "lab.jsonl")
+    clients, lab = read_rows(out / "clients.jsonl"), read_rows(out / "lab.jsonl")
     began = next(r["at"] for r in lab if r["what"] == "begin")
     seen = [((r["at"] - began) // 10_000, r["fate"]) for r in clients if r["what"] == "seen"]
     more = [
         ((r["at"] - began) // 10_000, f"box {r['what']}")
         for file in out.glob("box-*.jsonl")
-        for r in rows_of(file)
+        for r in read_rows(file)
         if r["what"] in ("adopted", "fenced", "fell", "floor")
     ]
-    seconds = by_second([*seen, *more])
-    back = of_day(out)
+    seconds = counts_by_second([*seen, *more])
+    back = judge_day(out)
     counts = sum((came for _, came in seconds), Counter())
     kinds = Counter()
     breaks = tuple((kind, text) for kind, text in breaks if not kinds.update([kind]) and kinds[kind] <= 3)
     return Outcome(
-        breaks, back and back.back, 0.0, marks_of(troubles, counts, seconds) | {f"broke {kind}" for kind, _ in breaks}
+        breaks,
+        back and back.recovered,
+        0.0,
+        marks_of(troubles, counts, seconds) | {f"broke {kind}" for kind, _ in breaks},
     )
 
 
@@ -131,7 +134,7 @@
         self.play = by_processes if sockets else in_model
         self.sockets, self.quiet = sockets, {}
         self.log = Log(Files(self.folder / "log"))
-        head = msgspec.msgpack.encode(Head(SHAPE, self.data, seed, seeds, plain, sockets))
+        head = msgspec.msgpack.encode(Head(LOG_VERSION, self.data, seed, seeds, plain, sockets))
         found = [data for _, data in self.log.found.records]
         if found and found[0] != head:
             raise ValueError(f"{folder}: another hunt is kept there (another day, seed or way to play)")
@@ -149,9 +152,9 @@
         with self.pool() as pool:
             if not self.sockets:
                 seeds = range(1, self.hunt.seeds + 1)
-                self.quiet = {seed: quiet_of(self.day, seed) for seed in seeds}
+                self.quiet = {seed: undisturbed_share(self.day, seed) for seed in seeds}
             while len(self.hunt.played) < budget:
-                rows = self.hunt.generation()
+                rows = self.hunt.next_generation()
                 known, self.kept = self.kept[: len(rows)], self.kept[len(rows) :]
                 new = rows[len(known) :]
                 outcomes = [self.again(row, kept) for row, kept in zip(rows, known)]
@@ -161,7 +164,7 @@
                     self.log.append(
                         msgspec.msgpack.encode(
                             Kept(
-                                SHAPE,
+                                LOG_VERSION,
                                 number,
                                 seed,
                                 troubles,
@@ -175,7 +178,7 @@
                     self.log.commit()
                     outcomes.append(outcome)
                 for row, outcome in zip(rows, outcomes):
-                    said(self.hunt.take(*row, outcome))
+                    said(self.hunt.record(*row, outcome))
 
     @staticmethod
     def again(row, kept):
@@ -256,7 +259,7 @@
             folder.mkdir(parents=True, exist_ok=True)
             found[player] = of_records(day, day.troubles, *play_day(day, seed, folder, folder / "out"), folder / "out")
         else:
-            found[player] = played(day, seed, day.troubles, quiet_of(day, seed))[0]
+            found[player] = play_and_check(day, seed, day.troubles, undisturbed_share(day, seed))[0]
     return found
 
 
--- a/flaxscale/platform/discovery.py
+++ b/flaxscale/platform/discovery.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from ..jsonl.lines import Lines
+from ..jsonl.lines import LineBuffer
 from .bulletin import UnreadableEvent
 
 # Spans in tenths of a millisecond.
@@ -19,7 +19,7 @@
     """One connection. It is used only while it is the current one of its watch; a superseded one is closed unread."""
 
     def __init__(self, watch):
-        self.watch, self.lines, self.transport = watch, Lines(LINE_BYTES_MAX), None
+        self.watch, self.lines, self.transport = watch, LineBuffer(LINE_BYTES_MAX), None
 
     def connection_made(self, transport):
         self.transport = transport
@@ -37,7 +37,7 @@
             return
         # Counts before a line is complete, as a long list may take longer to arrive than event numbers are apart.
         self.watch.received_at = host.now()
-        for line in self.lines.take(data):
+        for line in self.lines.feed(data):
             if not self.is_current():
                 return
             if not line.strip():
@@ -51,7 +51,7 @@
             self.watch.failures = 0
             if update:
                 host.apply_list_update(update)
-        if self.lines.fault and self.is_current():
+        if self.lines.error and self.is_current():
             self.watch.drop()
 
     def connection_lost(self, exc):
--- a/flaxscale/platform/host.py
+++ b/flaxscale/platform/host.py
@@ -9,11 +9,11 @@
 
 from ..interface import Outcome, SessionRequest
 from ..jsonl import messages
-from ..jsonl.messages import CallTaken, Fault
+from ..jsonl.messages import CallInUse, MessageError
 from ..run import AnswerKind, Runner
 from ..serve.clock import unix_clock
 from ..site.load import SiteError
-from ..site.settings import NOTE_NAMES, PEER_WORD, span
+from ..site.settings import NOTE_KINDS_BY_NAME, PEER_MESSAGE, span_tenths
 from . import config as configuration
 from .accounting_check import AccountingCheck
 from .bulletin import Bulletin, UnreadableEvent
@@ -273,8 +273,8 @@
         """Handles a close by the client: no further work is started, and open requests are answered at once."""
         for session in list(client.open_requests.values()):
             self.end_for_client(session)
-            why = messages.CUT if session.sent_at else messages.NEVER
-            client.send(messages.line("end", session.call, why=why))
+            why = messages.CAUSE_INTERRUPTED if session.sent_at else messages.CAUSE_EXPIRED
+            client.send(messages.encode("end", session.call, why=why))
         client.open_requests.clear()
 
     def client_disconnected(self, client):
@@ -291,19 +291,19 @@
         """Handles a set-up. Its deadline counts from the arrival of its line, which may be before it was read."""
         known = self.session_by_call(message.call) is not None
         try:
-            setup = messages.set_up(message, self.config.packages)
-        except Fault as error:
-            raise CallTaken(str(error)) if known else error from None
-        if setup.at is not None:
+            setup = messages.parse_offer(message, self.config.packages)
+        except MessageError as error:
+            raise CallInUse(str(error)) if known else error from None
+        if setup.playing_at is not None:
             if not known:  # the manager may hold the session already
                 self.handle_handover(client, setup)
             return
         if known:
-            raise CallTaken("call: used by another session")
+            raise CallInUse("call: used by another session")
         self.counts["asked"] += 1
         session = self.sessions[setup.id] = session_of(setup, client)
         client.open_requests[setup.call] = session
-        left = span(setup.left) - max(0, self.now() - arrived_at)
+        left = span_tenths(setup.remaining_ms) - max(0, self.now() - arrived_at)
         self.runner.session_requested(self.session_request(setup, max(0, left)))
         self.forget_ended(session)
 
@@ -314,30 +314,30 @@
             setup.title,
             setup.viewer,
             left,
-            setup.top,
+            setup.top_rung,
             setup.first_cell,
-            setup.cells,
+            setup.cell_count,
             0,
             False,
-            setup.again,
+            setup.is_retry,
         )
 
     def handle_handover(self, client, setup):
-        endpoint = self.servers.endpoints.get(setup.at)
+        endpoint = self.servers.endpoints.get(setup.playing_at)
         if endpoint is None:
-            raise Fault("extras.at: unknown server")
+            raise MessageError("extras.at: unknown server")
         self.counts["handed over"] += 1
         session = self.sessions[setup.id] = session_of(setup, client)
         self.mark_playing(session, endpoint)
-        self.runner.session_handed_over(self.session_request(setup, 0), setup.at, None)
+        self.runner.session_handed_over(self.session_request(setup, 0), setup.playing_at, None)
 
     def handle_end(self, client, message):
         """Handles a client's end: of an open set-up on the same connection, of a playing session on any connection."""
         session = self.session_by_call(message.call)
         if session is None or session.call in session.client.open_requests and session.client is not client:
-            client.send(messages.line("ended", message.call[:64]))
+            client.send(messages.encode("ended", message.call[:64]))
             return
-        client.send(messages.line("ended", message.call))
+        client.send(messages.encode("ended", message.call))
         self.counts["left"] += 1
         session.client.open_requests.pop(session.call, None)
         self.end_for_client(session)
@@ -363,7 +363,7 @@
                 session.endpoint.playing.discard(session.id)
 
     def session_by_call(self, call):
-        return self.sessions.get(int(call, 16)) if messages.CALL.match(call) else None
+        return self.sessions.get(int(call, 16)) if messages.CALL_ID.match(call) else None
 
     # Server messages
 
@@ -379,7 +379,7 @@
             self.counts["plays"] += 1
         else:
             endpoint.playing.discard(session.id)
-            endpoint.release(session.call, messages.NORMAL)
+            endpoint.release(session.call, messages.CAUSE_NORMAL)
         session.answer = session.desc = None  # not needed again; saves memory with thousands of sessions
         self.forget_ended(session)
 
@@ -400,9 +400,9 @@
 
     def ended_by_server(self, endpoint, session, message):
         """Handles the end of a playing session that its server reports."""
-        outcome = messages.AFTER.get(message.why, Outcome.RESET)
+        outcome = messages.OUTCOMES_AFTER_START.get(message.why, Outcome.RESET)
         self.counts[f"over {outcome.value}"] += 1
-        load = messages.load(message, self.config.load_names)
+        load = messages.parse_load(message, self.config.load_names)
         self.runner.attempt_ended(session.id, session.nth, outcome, self.now() - session.sent_at, load)
         self.forget_ended(session)
         if outcome is not Outcome.CANCELLED:
@@ -415,17 +415,17 @@
             return
         self.counts["cut with its server"] += 1
         if not session.endpoint.retired:
-            session.endpoint.release(session.call, messages.NORMAL)
+            session.endpoint.release(session.call, messages.CAUSE_NORMAL)
         self.runner.attempt_ended(id, session.nth, Outcome.RESET, self.now() - session.sent_at)
         self.forget_ended(session)
-        self.client_releases.release(session, messages.CUT)
+        self.client_releases.release(session, messages.CAUSE_INTERRUPTED)
 
     def handle_note(self, endpoint, session, message):
-        kind = NOTE_NAMES.get(message.fields.get("note"))
+        kind = NOTE_KINDS_BY_NAME.get(message.fields.get("note"))
         if session is None or kind is None or session.id not in endpoint.playing:
             self.counts["notes on nothing"] += 1
             return
-        value = messages.figure(message.fields.get("value", ""), "value")
+        value = messages.parse_number(message.fields.get("value", ""), "value")
         self.accounting_check.compare(endpoint.server, kind, value)
         self.runner.playback_note(session.id, kind, value)
 
@@ -456,7 +456,7 @@
     def end_session(self, id, nth, server):
         session = self.sessions[id]
         session.endpoint.playing.discard(id)
-        session.endpoint.release(session.call, messages.NORMAL)
+        session.endpoint.release(session.call, messages.CAUSE_NORMAL)
 
     def set_rung(self, id, nth, server, rung):
         session = self.sessions[id]
@@ -467,18 +467,18 @@
         self.counts[f"answered {answer.kind.value}"] += 1
         if answer.kind is AnswerKind.PLAYS:
             session.client.accepted_count += 1
-            session.client.answer(session, messages.line("accept", session.call, desc=session.answer))
+            session.client.answer(session, messages.encode("accept", session.call, desc=session.answer))
         elif answer.kind is AnswerKind.BLOCKED:
             # The protocol's retry pause is in whole milliseconds.
             fields = {"wait": answer.hold_off // 10} if answer.hold_off else {}
-            session.client.answer(session, messages.line("end", session.call, fields, messages.FULL))
+            session.client.answer(session, messages.encode("end", session.call, fields, messages.CAUSE_NO_CAPACITY))
         elif answer.kind is AnswerKind.ABORTED:
-            session.client.answer(session, messages.line("end", session.call, why=messages.CUT))
+            session.client.answer(session, messages.encode("end", session.call, why=messages.CAUSE_INTERRUPTED))
         else:
             session.client.open_requests.pop(session.call, None)
 
     def tell_peers(self, server, kb):
-        self.peers.send(PEER_WORD.pack(server, kb))
+        self.peers.send(PEER_MESSAGE.pack(server, kb))
 
     def probe(self, server):
         self.loop.call_soon(self.runner.probe_ended, server, Outcome.ERROR, 0)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -17,9 +17,9 @@
 from flaxscale.members import swim
 from flaxscale.serve.clock import now
 from flaxscale.serve.limit import within
-from flaxscale.site.load import shape
+from flaxscale.site.load import decode_as
 from flaxscale.site.shapes import Site
-from flaxscale.site.terms import Sense
+from flaxscale.site.terms import ManagerSite
 from flaxscale.standins.boxlist import BoxList
 
 LIMIT = 10
@@ -98,7 +98,7 @@
 
     async def asyncSetUp(self):
         self.folder = tempfile.TemporaryDirectory()
-        self.site = shape("test", self.terms, Site)
+        self.site = decode_as("test", self.terms, Site)
         self.site.managers = self.managers
         self.list_rows, self.log, self.seen_by = Rows(), [], Rows()
         self.list = BoxList(self.site.fleet.uplink_kb, self.list_rows)
@@ -115,13 +115,15 @@
             await self.start_front(m)
 
     async def start_service(self, port=0):
-        from flaxscale.catalogued.service import Service
+        from flaxscale.catalogued.service import CatalogueService
         from flaxscale.lab.changes import frame_of
         from flaxscale.store.files import Files
 
         self.service_rows = Rows()
         store = self.folder.name + "/store"
-        self.service = Service(Files(store), frame_of(self.site), self.service_rows, None, Files(store + "/peaks"))
+        self.service = CatalogueService(
+            Files(store), frame_of(self.site), self.service_rows, None, Files(store + "/peaks")
+        )
         self.catalogue = "%s:%d" % await self.service.start("127.0.0.1", port)
 
     async def change(self, *ops, **how):
@@ -158,7 +160,12 @@
     async def start_front(self, m, listed=True):
         log = Rows()
         front = Front(
-            Sense(self.site, m, 0, 7 + m), log, "%s:%d" % self.list.address, self.folder.name, None, self.catalogue
+            ManagerSite(self.site, m, 0, 7 + m),
+            log,
+            "%s:%d" % self.list.address,
+            self.folder.name,
+            None,
+            self.catalogue,
         )
         self.fronts.append(front)
         self.log.append(log)
@@ -184,7 +191,7 @@
             raise AssertionError(f"{what} did not come to hold") from None
 
     async def listed(self, front, log):
-        while len(front.book.rows) < len(self.list.rows) or len(self.list.rows) < len(self.boxes):
+        while len(front.box_list.rows) < len(self.list.rows) or len(self.list.rows) < len(self.boxes):
             await log.seen("listed", len(log.all("listed")) + 1)
 
     async def asyncTearDown(self):
@@ -257,7 +264,7 @@
 
     def setUp(self):
         # The same protocol, two and a half times as fast.
-        fast = unittest.mock.patch.multiple(swim, PERIOD=2_000, ACK_WAIT=700, STOOD=10_000)
+        fast = unittest.mock.patch.multiple(swim, PERIOD=2_000, ACK_WAIT=700, STALL_LIMIT=10_000)
         fast.start()
         self.addCleanup(fast.stop)
 
@@ -270,7 +277,7 @@
         log = Rows()
         seeds = [f.members.shell.swim.me.address for f in self.fronts]
         front = Front(
-            Sense(self.site, m, 0, 7 + m),
+            ManagerSite(self.site, m, 0, 7 + m),
             log,
             "%s:%d" % self.list.address,
             self.folder.name,
@@ -299,8 +306,8 @@
         if front.members.shell:
             front.members.shell.close()
             front.members.shell.muted = True
-        front.members.timer.cancel()
-        front.timer and front.timer.cancel()
+        front.members.reserve_timer.cancel()
+        front.wake_timer and front.wake_timer.cancel()
         front.housekeeping.cancel()
         front.server.stop_listening()
         front.server.abort_all()
@@ -308,14 +315,14 @@
         for box in list(front.boxes.streams):
             front.boxes.close_stream(box)
         await front.boxes.pool.close()
-        front.follower.stop()
+        front.list_follower.stop()
         await front.peaks.stop()
 
     async def media(self, seen):
         """The player's media, opened and read once."""
         from flaxscale.signalling import sdp
 
-        host, port, ufrag = sdp.candidate_of(seen.body)
+        host, port, ufrag = sdp.first_candidate(seen.body)
         reader, writer = await asyncio.open_connection(host, port)
         writer.write(f"GET /media/{ufrag} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
         await within(5, reader.readline())
--- a/tests/test_hunt.py
+++ b/tests/test_hunt.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from flaxscale.hunt.marks import marks_of
-from flaxscale.hunt.search import GENERATION, Hunt, Outcome
+from flaxscale.hunt.search import GENERATION_SIZE, Hunt, Outcome
 from flaxscale.hunt.shrink import shrink
 from flaxscale.hunt.space import LEAD_S, Space, healed_at
 from flaxscale.lab import hunts
@@ -17,7 +17,7 @@
 from flaxscale.lab.hunts import Hunting
 from flaxscale.lab.shapes import TroubleRow, faults, read_day
 from flaxscale.model import judge
-from flaxscale.rules.comeback import comes_back, of_day
+from flaxscale.rules.comeback import judge_day, judge_recovery
 from tests.test_day import ROOT, Played, flaxscale
 
 FOUND = pathlib.Path(__file__).parent / "hunted"
@@ -37,12 +37,12 @@
         for name, sockets in (("bad-day", False), ("straggler-day", True), ("loss-day", True)):
             day = quiet_day(name)
             space, dice, kinds = Space(day, sockets), Dice(3, name), set()
-            troubles = space.fresh(dice)
+            troubles = space.draw_list(dice)
             for n in range(400):
-                troubles = space.fresh(dice) if n % 9 == 0 else space.changed(troubles, dice)
+                troubles = space.draw_list(dice) if n % 9 == 0 else space.mutate(troubles, dice)
                 self.assertEqual([], faults(msgspec.structs.replace(day, troubles=troubles), sockets), troubles)
                 self.assertTrue(all(row.at_s >= LEAD_S for row in troubles))
-                self.assertLessEqual(max(row.at_s + row.for_s for row in troubles), space.last + 0.01)
+                self.assertLessEqual(max(row.at_s + row.for_s for row in troubles), space.latest_end_s + 0.01)
                 kinds |= {(row.what, row.kind) for row in troubles}
             self.assertLessEqual({(kind, "cut") for kind in space.kinds if kind != "disk"}, kinds)
             self.assertLessEqual({("way", kind) for kind in space.ways}, kinds)
@@ -52,9 +52,9 @@
     def test_the_next_generation_stands_on_what_came_and_a_plain_hunt_learns_nothing(self):
         def lead(plain, marks):
             hunt = Hunt(Space(quiet_day(), False), 5, plain=plain)
-            for row in hunt.generation():
-                hunt.take(*row, nothing(marks=marks if row[0] == 3 else ()))
-            return hunt, hunt.generation()
+            for row in hunt.next_generation():
+                hunt.record(*row, nothing(marks=marks if row[0] == 3 else ()))
+            return hunt, hunt.next_generation()
 
         hunt, with_news = lead(False, ("new",))
         self.assertEqual([3], [p.number for p in hunt.corpus])
@@ -64,11 +64,11 @@
 
     def test_a_broken_rule_ranks_before_a_fleet_that_stays_down_and_that_before_any_loss(self):
         hunt = Hunt(Space(quiet_day(), False), 5)
-        rows = hunt.generation()
+        rows = hunt.next_generation()
         for row, outcome in zip(
             rows, (nothing(0.9), Outcome((), False, 0.0, frozenset()), nothing(breaks=[("rule 1", "x")]), nothing(0.1))
         ):
-            hunt.take(*row, outcome)
+            hunt.record(*row, outcome)
         self.assertEqual([2, 1, 0], [p.number for p in hunt.worst()])
 
     def test_marks_are_of_what_stood_together_and_what_came_meanwhile(self):
@@ -103,12 +103,12 @@
 class Comeback(unittest.TestCase):
     def test_a_fleet_that_stays_down_is_told_from_one_that_comes_back_and_from_chance(self):
         steady = dict.fromkeys(range(30), 40)
-        self.assertIs(True, comes_back(steady, 6, 12, 30).back)
-        self.assertIs(True, comes_back({**steady, **dict.fromkeys(range(6, 18), 0)}, 6, 12, 30).back)
-        self.assertIs(False, comes_back({**steady, **dict.fromkeys(range(6, 30), 16)}, 6, 12, 30).back)
-        self.assertIs(None, comes_back(dict.fromkeys(range(30), 3), 6, 12, 30).back)  # 15 viewings say nothing
-        self.assertIs(None, comes_back(steady, 6, 28, 30).back)  # too near the end
-        self.assertIs(True, comes_back({**steady, 20: 13, 21: 14}, 6, 12, 30).back)
+        self.assertIs(True, judge_recovery(steady, 6, 12, 30).recovered)
+        self.assertIs(True, judge_recovery({**steady, **dict.fromkeys(range(6, 18), 0)}, 6, 12, 30).recovered)
+        self.assertIs(False, judge_recovery({**steady, **dict.fromkeys(range(6, 30), 16)}, 6, 12, 30).recovered)
+        self.assertIs(None, judge_recovery(dict.fromkeys(range(30), 3), 6, 12, 30).recovered)  # 15 viewings say nothing
+        self.assertIs(None, judge_recovery(steady, 6, 28, 30).recovered)  # too near the end
+        self.assertIs(True, judge_recovery({**steady, 20: 13, 21: 14}, 6, 12, 30).recovered)
 
     def test_a_days_records_say_it_and_a_box_that_is_not_back_yet_counts_as_struck(self):
         def told(plays, back=9.0):
@@ -123,12 +123,12 @@
                 for name, some in (("lab", lab), ("clients", rows)):
                     pathlib.Path(folder, f"{name}.jsonl").write_text("".join(json.dumps(r) + "\n" for r in some))
                 pathlib.Path(folder, "day.json").write_text('{"length_s": 30}')
-                return of_day(folder)
+                return judge_day(folder)
 
         steady = [n / 30 for n in range(900)]
-        self.assertIs(True, told(steady).back)
-        self.assertIs(False, told([s for s in steady if s < 6 or s * 30 % 4 < 1]).back)
-        self.assertIs(None, told(steady, 25.0).back)
+        self.assertIs(True, told(steady).recovered)
+        self.assertIs(False, told([s for s in steady if s < 6 or s * 30 % 4 < 1]).recovered)
+        self.assertIs(None, told(steady, 25.0).recovered)
 
 
 class Found(unittest.TestCase):
@@ -153,7 +153,7 @@
             ),
             ("update_server", None, crash, "rule 3"),
         ):
-            sound = judge.played(day, 2, troubles)[0]
+            sound = judge.play_and_check(day, 2, troubles)[0]
             self.assertEqual((), sound.breaks, name)
             if planted is None:
                 from flaxscale.decide import Manager
@@ -165,7 +165,7 @@
                         whole(self, row)
 
             with unittest.mock.patch(policy + name, planted):
-                found = judge.played(day, 2, troubles)[0]
+                found = judge.play_and_check(day, 2, troubles)[0]
             self.assertIn(kind, {k for k, _ in found.breaks}, name)
 
     def test_days_that_once_broke_something_break_nothing_now(self):
@@ -174,7 +174,7 @@
         for file in files:
             seed = int(file.read_text().partition("--seed ")[2].partition(".")[0])
             day = read_day(file, sockets=False)
-            outcome, _ = judge.played(day, seed, day.troubles)
+            outcome, _ = judge.play_and_check(day, seed, day.troubles)
             self.assertEqual((), outcome.breaks, file.name)
 
     def test_a_hunt_that_is_stopped_goes_on_in_any_number_of_processes(self):
@@ -185,19 +185,19 @@
                 hunting.run(budget)
                 return hunting, [(p.number, p.seed, p.troubles, p.outcome, p.new) for p in hunting.hunt.played]
 
-            _, whole = plays("whole", 3, 2 * GENERATION)
-            self.assertEqual(2 * GENERATION, len(whole))
-            plays("stopped", 2, GENERATION)
-            again, rest = plays("stopped", 1, 2 * GENERATION)
-            self.assertEqual((GENERATION, whole), (again.resumed, rest))
+            _, whole = plays("whole", 3, 2 * GENERATION_SIZE)
+            self.assertEqual(2 * GENERATION_SIZE, len(whole))
+            plays("stopped", 2, GENERATION_SIZE)
+            again, rest = plays("stopped", 1, 2 * GENERATION_SIZE)
+            self.assertEqual((GENERATION_SIZE, whole), (again.resumed, rest))
             # Half a generation in the log, as a kill leaves it.
             log = again.log
             for name in log.files.names():
                 data = log.files.read(name)
                 log.files.truncate(name, len(data) * 3 // 4)
             log.files.close(log.segment)
-            after, rest = plays("stopped", 3, 2 * GENERATION)
-            self.assertTrue(GENERATION < after.resumed < 2 * GENERATION)
+            after, rest = plays("stopped", 3, 2 * GENERATION_SIZE)
+            self.assertTrue(GENERATION_SIZE < after.resumed < 2 * GENERATION_SIZE)
             self.assertEqual(whole, rest)
             with self.assertRaisesRegex(ValueError, "another hunt"):
                 Hunting(quiet_day(), f"{folder}/stopped", 5, 1)
--- a/tests/test_stragglers.py
+++ b/tests/test_stragglers.py
@@ -68,7 +68,7 @@
         ]
 
     async def get(self, m):
-        result = await self.run_.player.pool.ask(
+        result = await self.run_.player.pool.fetch(
             *self.at(m), "GET", "/state", [("Authorization", f"Bearer {TOKEN}")], b"", LIMIT
         )
         return json.loads(result.body)
@@ -141,7 +141,7 @@
         self.run_.lab.put("end")
         await self.run_.finish()
         judged = judge(self.out)
-        self.assertEqual([], judged.bad())
+        self.assertEqual([], judged.violations())
         return judged
 
 
@@ -318,7 +318,7 @@
         port = self.run_.catalogue.address[1]
         for n in range(6):
             async with Client("%s:%d" % self.run_.catalogue.address) as client:
-                order = {"ops": [Seats("quay-cam", "dock-live", 3 + n)], "id": f"order-{n}", "again_s": LIMIT}
+                order = {"ops": [Seats("quay-cam", "dock-live", 3 + n)], "id": f"order-{n}", "retry_for_s": LIMIT}
                 asked = asyncio.ensure_future(client.change(**order))
                 if n % 3 == 1:  # killed before it may have heard, once it made it, once answered
                     await self.written(lambda: f'"version":{n + 2},' in (self.out / "catalogue.jsonl").read_text())
@@ -343,7 +343,7 @@
                 replies = [await client.call("Change", order, stub=client.peaks)]
                 await self.run_.catalogue.kill()
                 await self.run_.start_catalogue(port)
-                replies.append(await client.call("Change", order, stub=client.peaks, again_s=LIMIT))
+                replies.append(await client.call("Change", order, stub=client.peaks, retry_for_s=LIMIT))
                 self.assertEqual([(n + 1, [])] * 2, [(r.version, list(r.faults)) for r in replies])
 
     async def test_boxes_that_forget_the_floor_are_found_by_the_judge(self):
@@ -366,7 +366,7 @@
         self.run_.lab.put("end")
         await self.run_.finish()
         judged = judge(self.out)
-        self.assertEqual({("under floor", "m0")}, {(f.what, f.manager) for f in judged.bad()})
+        self.assertEqual({("under floor", "m0")}, {(f.what, f.manager) for f in judged.violations()})
 
 
 class Lying(Fleet):
@@ -397,7 +397,7 @@
         self.wish = Wish(1, "clip-1", False, "ann", 3.0, 5.0, None, None, "ann-1", trace_of(5, 1))
 
     async def keyed(self, m, wish, body):
-        return await self.run_.player.pool.ask(
+        return await self.run_.player.pool.fetch(
             *self.at(m), "POST", target_of(wish), headers_of(wish, TOKEN), body, LIMIT
         )
 
@@ -502,7 +502,7 @@
     def test_the_example_keeps_the_rules_and_both_accounts_agree_on_every_action(self):
         out, rows, logs_ = self.play("examples/straggler-day.jsonnet", 4, troubled=("adopted",))
         audited = judge(out)
-        self.assertEqual([], audited.bad())
+        self.assertEqual([], audited.violations())
         self.assertGreater(audited.agreed, 100)
         self.assertEqual(set(), {f.manager for f in audited.findings} - {"m3"})  # killed
         self.assertTrue([r for r in rows if r["what"] == "answer" and r["status"] == 412 and not r["ran"]])
@@ -513,7 +513,7 @@
         out, rows, logs_ = self.play("examples/flap-day.jsonnet", 2, troubled=("adopted",))
         audited = judge(out)
         # The older build says nothing of its versions; where a floor stands nothing of it runs.
-        self.assertEqual({("no stamp", "m4")}, {(f.what, f.manager) for f in audited.bad()})
+        self.assertEqual({("no stamp", "m4")}, {(f.what, f.manager) for f in audited.violations()})
         late = [r for r in rows if r["what"] == "answer" and r["key"].startswith("m4.")]
         floor = min(r["at"] for r in rows if r["what"] == "floor" and r["floor"])
         self.assertEqual({412}, {r["status"] for r in late if r["at"] > floor + 20_000})
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from flaxscale.front.members import Cookie, cookie_in, cookie_out
+from flaxscale.front.members import Cookie, decode_cookie, encode_cookie
 from flaxscale.lab.players import elsewhere, headers_of, offer_of, target_of
 from flaxscale.members import swim
 from flaxscale.recovery.journal import KeyJournal
@@ -64,7 +64,7 @@
         left = []
         for token, status in (("theirs", 401), ("ours", 409)):  # a wrong token; a program without a stop handler
             self.assertEqual(status, (await self.operate("/drain", token))[0])
-        self.fronts[0].leave = lambda: left.append(asyncio.ensure_future(self.fronts[0].stop(4.0)))
+        self.fronts[0].begin_stop = lambda: left.append(asyncio.ensure_future(self.fronts[0].stop(4.0)))
         seen = [await self.ask("one", front=0) for _ in range(4)]
         media = [await self.media(s) for s in seen]
         address = self.fronts[0].address
@@ -125,7 +125,7 @@
         writer.close()
 
     async def test_a_journal_failure_is_reported_and_answers_continue(self):
-        log = self.fronts[0].journal.kept.log
+        log = self.fronts[0].journal.key_journal.log
         disk = log.files
         log.files = FaultyFiles(room=0)
         seen = await self.ask("one", front=0, key="k2")
@@ -155,8 +155,8 @@
         for log in self.log[1:]:
             await log.seen("member", name="m0", state="dead")
         for box in self.boxes.values():
-            box.last_stream["m0", gone.boot] = -self.lease  # as after the lease has expired
-            box.lease_over("m0", gone.boot)
+            box.stream_ended_at["m0", gone.boot] = -self.lease  # as after the lease has expired
+            box.lease_expired("m0", gone.boot)
         # The boxes' lease ends the sessions for which no manager had a seat.
         await self.until(lambda: self.playing() == 6, "six keep playing")
         self.assertEqual(6, self.playing())
@@ -167,9 +167,9 @@
     async def test_peer_messages_about_demand_reach_the_others(self):
         await self.all_met()
         shell, reply = self.fronts[1].members.shell, asyncio.get_running_loop().create_future()
-        receive = shell.word
-        shell.word = lambda *word: (receive(*word), reply.done() or reply.set_result(word))
-        self.fronts[0].members.shell.tell(2, 123.0)
+        receive = shell.load_changed
+        shell.load_changed = lambda *word: (receive(*word), reply.done() or reply.set_result(word))
+        self.fronts[0].members.shell.report_load(2, 123.0)
         self.assertEqual(("m0", 2, 123.0), await asyncio.wait_for(reply, 10))
         self.assertEqual(123.0, sum(self.fronts[1].runner.manager.servers[2].link.changes.since(0)))
 
@@ -177,7 +177,7 @@
         await self.all_met()
         shell = self.fronts[1].members.shell
         before = shell.swim.alive()
-        message = swim.Message("ping", 1, "m9", "", (swim.News("m0", "x:1", swim.State.DEAD, 99, "x"),))
+        message = swim.Message("ping", 1, "m9", "", (swim.Update("m0", "x:1", swim.State.DEAD, 99, "x"),))
         from flaxscale.members import wire as members_wire
 
         for key in (b"other", b""):
@@ -195,13 +195,13 @@
             *self.boxes[1].address, "POST", "/manager/adopt", [("Flaxscale-Manager", "m1")], b"[1]", reply.set_result
         )
         self.assertEqual(400, (await reply).status)
-        self.assertIsInstance(await reply, wire.Answer)
+        self.assertIsInstance(await reply, wire.Response)
 
     async def test_cookies_are_decoded_and_invalid_ones_refused(self):
         offer = endpoint.Offer(False, "one", b"", "u", None, None, None, "tr", 2.5, None, None)
         self.assertEqual(
-            Cookie(1, "m0.1-x", "one", False, 7, 2, 25_000, "tr"), cookie_in(cookie_out("m0.1-x", offer, 7, 2))
+            Cookie(1, "m0.1-x", "one", False, 7, 2, 25_000, "tr"), decode_cookie(encode_cookie("m0.1-x", offer, 7, 2))
         )
         for bad in ("", "%%%", "AAAA"):
             with self.assertRaises(ValueError):
-                cookie_in(bad)
+                decode_cookie(bad)
